--- /dev/null
+++ b/crates/tallybridge-mesh/tests/wire_format.rs
@@ -0,0 +1,217 @@
+//! The bytes of each kind of message between nodes. Nodes of two releases serve each other while a
+//! release is rolled out, so bytes change only together with the protocol version.
+
+use std::time::Duration;
+
+use bytes::{Bytes, BytesMut};
+use tallybridge_mesh::{
+    crashes::{CrashReport, HeldRequest, RequestDigest},
+    peer::{CallMessage, Frame, Message},
+    tables::{BackendState, Load, PeerStatus, ServiceTime, SlotTimes},
+    tenants::quota::{LifeSpending, QuotaAsk, QuotaGrant},
+};
+
+const LOAD: Load = Load {
+    limit: 0x0102,
+    in_flight: 0x0304,
+    queued: 0x0506,
+    wait_ms: 0x0708,
+    service_ms: 0x090a,
+    failing: 0x0b,
+    offered: 0x0c0d,
+};
+
+fn text(text: &'static str) -> Bytes {
+    Bytes::from_static(text.as_bytes())
+}
+
+fn digest(byte: u8) -> RequestDigest {
+    RequestDigest([byte; 16])
+}
+
+fn spending() -> Vec<LifeSpending> {
+    vec![LifeSpending {
+        life: 0x0102_0304,
+        total: 0x0506_0708,
+        age_ms: 0x090a,
+        requests: vec![1, 0, 0x0203],
+    }]
+}
+
+fn call(flags: [bool; 4]) -> Message {
+    let [may_repeat, is_head_request, is_urgent, is_repeat] = flags;
+    Message::Call(CallMessage {
+        remaining_ms: 0x0102_0304,
+        wait_ms: 0x0506_0708,
+        criticality: 3,
+        kind: 0x0a0b,
+        may_repeat,
+        is_urgent,
+        is_repeat,
+        is_head_request,
+        attempt: text("attempt"),
+        head: text("GET /"),
+        body: text("body"),
+    })
+}
+
+fn answer() -> Message {
+    let times = [("ledger", 0x0102_0304), ("portal", 5)];
+    let times = times.map(|(service, micros)| ServiceTime {
+        service: service.into(),
+        held: Duration::from_micros(micros),
+    });
+    Message::Answer {
+        status: 0x00c8,
+        made_calls: true,
+        times: times.into_iter().collect::<SlotTimes>(),
+        load: LOAD,
+        head: text("A: b\r\n"),
+        body: text("body"),
+    }
+}
+
+fn quota_ask() -> Message {
+    Message::QuotaAsk {
+        tenant: text("ana"),
+        ask: QuotaAsk {
+            entry: 0x0102_0304_0506_0708,
+            ahead: 9,
+            spent: 10,
+            fleet: spending(),
+        },
+        is_forwarded: true,
+    }
+}
+
+/// One message of each kind, and of each form of it, with its frame as hexadecimal digits.
+fn messages() -> Vec<(Message, &'static str)> {
+    vec![
+        (Message::Hello(text("{}")), "000000020801112233447b7d"),
+        (Message::Nodes(text("[]")), "000000020802112233445b5d"),
+        (
+            call([true, false, true, false]),
+            "00000022080311223344010203040506070803050a0b000700000005617474656d7074474554202f626f6479",
+        ),
+        (
+            call([false, true, false, true]),
+            "000000220803112233440102030405060708030a0a0b000700000005617474656d7074474554202f626f6479",
+        ),
+        (
+            answer(),
+            "0000003508041122334400c801000000060102030405060708090a0b0c0d0201020304066c65646765720000000506706f7274616c413a20620d0a626f6479",
+        ),
+        (
+            Message::Refusal {
+                kind: 5,
+                outcome: 2,
+                retry_after_ms: 0x0102_0304,
+                load: LOAD,
+            },
+            "000000130805112233440502010203040102030405060708090a0b0c0d",
+        ),
+        (Message::Cancel, "00000000080611223344"),
+        (Message::Ping, "00000000080711223344"),
+        (
+            Message::Status(PeerStatus {
+                backend: BackendState::Stopping,
+                load: LOAD,
+                slots: 0x0102_0304,
+                version: 0x0506_0708_090a_0b0c,
+                calls: vec!["ledger".into(), "portal".into()],
+            }),
+            "00000027080811223344030102030405060708090a0b0c0102030405060708090a0b0c0d6c65646765720a706f7274616c",
+        ),
+        (Message::FetchConfiguration, "00000000080911223344"),
+        (
+            Message::Configuration(text("{}")),
+            "00000002080a112233447b7d",
+        ),
+        (Message::FetchNodes, "00000000080b11223344"),
+        (
+            Message::Confirmed {
+                version: 0x0102_0304_0506_0708,
+                age_ms: 0x090a_0b0c,
+                read_at_ms: 0x0d0e_0f10_1112_1314,
+            },
+            "00000014080c112233440102030405060708090a0b0c0d0e0f1011121314",
+        ),
+        (
+            Message::Clock {
+                now_ms: 0x0102_0304_0506_0708,
+            },
+            "00000008080d112233440102030405060708",
+        ),
+        (
+            quota_ask(),
+            "00000026080e112233440102030405060708000000090000000a01010102030405060708090a03000100000203616e61",
+        ),
+        (
+            Message::QuotaGrant(QuotaGrant::NotHome),
+            "00000006080f11223344000000000000",
+        ),
+        (
+            Message::QuotaGrant(QuotaGrant::Tokens {
+                tokens: 0x0102_0304,
+                fleet: spending(),
+            }),
+            "00000017080f112233440101020304010102030405060708090a03000100000203",
+        ),
+        (
+            Message::QuotaGrant(QuotaGrant::Spent {
+                wait: Duration::from_millis(0x0102_0304),
+                fleet: spending(),
+            }),
+            "00000017080f112233440201020304010102030405060708090a03000100000203",
+        ),
+        (
+            Message::Crashed(CrashReport {
+                id: 0x0102_0304_0506_0708,
+                suspects: vec![digest(0xa1), digest(0xb2)],
+            }),
+            "000000280810112233440102030405060708a1a1a1a1a1a1a1a1a1a1a1a1a1a1a1a1b2b2b2b2b2b2b2b2b2b2b2b2b2b2b2b2",
+        ),
+        (
+            Message::Held(HeldRequest {
+                digest: digest(0xc3),
+                crashes: 3,
+                left: Duration::from_millis(0x0102_0304_0506),
+            }),
+            "00000019081111223344c3c3c3c3c3c3c3c3c3c3c3c3c3c3c3c3030000010203040506",
+        ),
+        (
+            Message::Cleared(digest(0xd4)),
+            "00000010081211223344d4d4d4d4d4d4d4d4d4d4d4d4d4d4d4d4",
+        ),
+    ]
+}
+
+fn hexadecimal(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes_of(digits: &str) -> BytesMut {
+    let bytes = digits.as_bytes().chunks(2);
+    bytes
+        .map(|pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap())
+        .collect()
+}
+
+#[test]
+fn each_message_has_its_bytes() {
+    for (message, expected) in messages() {
+        let frame = Frame {
+            call: 0x1122_3344,
+            message,
+        };
+        assert_eq!(hexadecimal(&frame.encode()), expected, "{frame:?}");
+    }
+}
+
+#[test]
+fn each_message_is_read_from_its_bytes() {
+    for (message, digits) in messages() {
+        let frame = Frame::take(&mut bytes_of(digits)).unwrap().unwrap();
+        assert_eq!((frame.call, frame.message), (0x1122_3344, message));
+    }
+}
