--- a/crates/tallybridge-lab/tests/ablation.rs
+++ b/crates/standalone/tallybridge-lab/tests/ablation.rs
@@ -16,7 +16,7 @@
 
 #[test]
 fn pairs_are_compared_and_what_is_within_noise_is_marked() {
-    let script = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../tests/ablate");
+    let script = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../tests/ablate");
     let folder = tempfile::tempdir().unwrap();
     let plays = folder.path().join("plays.jsonl");
     std::fs::write(&plays, PLAYS.trim_start()).unwrap();
--- a/crates/tallybridge-node/src/actor/executions.rs
+++ b/crates/standalone/tallybridge-node/src/actor/executions.rs
@@ -3,7 +3,8 @@
 use std::time::{Duration, Instant};
 
 use tallybridge_core::{AttemptId, LoadReport, Refusal, TemplateName};
-use tallybridge_limits::{Sample, SampleResult, Ticket, retry::Allowance};
+use tallybridge_limits::Ticket;
+use tallybridge_overload::{Allowance, Sample, SampleResult};
 use xtra::prelude::*;
 
 use super::{NodeActor, now};
--- a/crates/tallybridge-node/src/path/execute.rs
+++ b/crates/standalone/tallybridge-node/src/path/execute.rs
@@ -12,7 +12,7 @@
     AttemptId, CallToken, Criticality, ErrorKind, Outcome, Refusal, RequestKey, TemplateName,
     TenantName,
 };
-use tallybridge_limits::{Sample, SampleResult, retry::Allowance};
+use tallybridge_overload::{Allowance, Sample, SampleResult};
 use tallybridge_wire::CallHead;
 use tokio_util::sync::CancellationToken;
 
--- a/crates/tallybridge-node/src/systems/admission.rs
+++ b/crates/standalone/tallybridge-node/src/systems/admission.rs
@@ -3,7 +3,8 @@
 use std::time::Instant;
 
 use tallybridge_core::{AttemptId, ErrorKind, Refusal, TemplateName};
-use tallybridge_limits::{Offer, Sample, Ticket, Waiting};
+use tallybridge_limits::{Offer, Ticket, Waiting};
+use tallybridge_overload::Sample;
 use tokio::sync::oneshot;
 
 use crate::tables::{
@@ -205,7 +206,7 @@
 pub fn ignored_sample() -> Sample {
     Sample {
         latency: std::time::Duration::ZERO,
-        result: tallybridge_limits::SampleResult::Ignore,
+        result: tallybridge_overload::SampleResult::Ignore,
         kind: 0,
     }
 }
--- a/crates/tallybridge-node/src/systems/begin.rs
+++ b/crates/standalone/tallybridge-node/src/systems/begin.rs
@@ -10,7 +10,7 @@
     AttemptId, CallToken, Criticality, ErrorKind, Outcome, Refusal, RequestKey, ServiceName,
     TenantName,
 };
-use tallybridge_limits::retry::Allowance;
+use tallybridge_overload::Allowance;
 
 use crate::{
     systems::admission::overloaded,
--- a/crates/tallybridge-node/src/systems/record.rs
+++ b/crates/standalone/tallybridge-node/src/systems/record.rs
@@ -9,7 +9,7 @@
 };
 
 use tallybridge_core::{Criticality, NodeId, Refusal};
-use tallybridge_limits::SampleResult;
+use tallybridge_overload::SampleResult;
 
 use super::{
     begin::{CallRequest, Origin},
--- a/crates/tallybridge-node/src/systems/retry.rs
+++ b/crates/standalone/tallybridge-node/src/systems/retry.rs
@@ -5,7 +5,8 @@
 use rand::rngs::SmallRng;
 use tallybridge_config::RetryOn;
 use tallybridge_core::{ErrorKind, LoadReport, NodeId, Outcome, Refusal};
-use tallybridge_limits::retry::{Backoff, Budget};
+use tallybridge_limits::Budget;
+use tallybridge_overload::Backoff;
 use tallybridge_routing::{AttemptResult, NoEndpoint};
 
 use crate::tables::{
--- a/crates/tallybridge-node/src/tables/admission.rs
+++ b/crates/standalone/tallybridge-node/src/tables/admission.rs
@@ -7,10 +7,8 @@
 
 use tallybridge_config::settings::BackendSettings;
 use tallybridge_core::{Criticality, LoadReport, Refusal, ServiceName, TemplateName};
-use tallybridge_limits::{
-    AdmissionLevel, AdmissionQueue, ConcurrencyLimit, LevelSettings, LimitSettings, QueueSettings,
-    Ramp,
-};
+use tallybridge_limits::{AdmissionQueue, QueueSettings};
+use tallybridge_overload::{AdmissionLevel, ConcurrencyLimit, LevelSettings, LimitSettings, Ramp};
 use tokio::sync::oneshot;
 
 use super::{executions::Execution, service_time::ServiceTime};
--- a/crates/tallybridge-node/src/tables/calls.rs
+++ b/crates/standalone/tallybridge-node/src/tables/calls.rs
@@ -4,7 +4,7 @@
 
 use tallybridge_config::CallPolicy;
 use tallybridge_core::{AttemptId, Criticality, NodeId, RequestKey, ServiceName, TenantName};
-use tallybridge_limits::retry::Allowance;
+use tallybridge_overload::Allowance;
 
 /// Number of a call at its entry node; never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
--- a/crates/tallybridge-node/src/tables/executions.rs
+++ b/crates/standalone/tallybridge-node/src/tables/executions.rs
@@ -7,7 +7,7 @@
 };
 
 use tallybridge_core::{AttemptId, Criticality, InstanceId, RequestKey, TemplateName, TenantName};
-use tallybridge_limits::retry::Allowance;
+use tallybridge_overload::Allowance;
 
 /// One attempt that holds a slot of the back end.
 #[derive(Debug, Clone)]
--- a/crates/tallybridge-node/src/tables/mod.rs
+++ b/crates/standalone/tallybridge-node/src/tables/mod.rs
@@ -13,8 +13,9 @@
 use rand::{SeedableRng, rngs::SmallRng};
 use tallybridge_config::Settings;
 use tallybridge_core::{NodeId, ServiceName, TemplateName};
-use tallybridge_limits::{Budget, BudgetSettings, EarlyRefusal};
+use tallybridge_limits::{Budget, BudgetSettings};
 use tallybridge_membership::{MemberIdentity, MemberTable, MembershipSettings, Placement};
+use tallybridge_overload::EarlyRefusal;
 use tallybridge_routing::{EndpointTable, Locality, RoutingSettings};
 
 use self::{
--- a/crates/tallybridge-limits/benches/decisions.rs
+++ b/crates/standalone/tallybridge-overload/benches/decisions.rs
@@ -7,10 +7,8 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use tallybridge_core::{Criticality, LoadReport};
-use tallybridge_limits::{
-    AdmissionQueue, ConcurrencyLimit, EarlyRefusal, LimitSettings, Offer, QueueSettings, Sample,
-    SampleResult, Waiting,
-};
+use tallybridge_limits::{AdmissionQueue, Offer, QueueSettings, Waiting};
+use tallybridge_overload::{ConcurrencyLimit, EarlyRefusal, LimitSettings, Sample, SampleResult};
 
 fn waiting(number: usize, now: Instant) -> Waiting<usize> {
     Waiting {
--- a/crates/tallybridge-limits/tests/allowance.rs
+++ b/crates/standalone/tallybridge-overload/tests/allowance.rs
@@ -11,7 +11,7 @@
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use tallybridge_limits::Allowance;
+use tallybridge_overload::Allowance;
 
 /// How often calls fail, and how their answers mislead, as shares of 0 to 1.
 #[derive(Debug, Clone, Copy)]
--- a/crates/tallybridge-limits/tests/backend_model/mod.rs
+++ b/crates/standalone/tallybridge-overload/tests/backend_model/mod.rs
@@ -12,9 +12,10 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use tallybridge_core::{Criticality, LoadReport};
-use tallybridge_limits::{
-    AdmissionLevel, AdmissionQueue, ConcurrencyLimit, EarlyRefusal, LevelSettings, LimitSettings,
-    Offer, QueueSettings, Sample, SampleResult, Waiting,
+use tallybridge_limits::{AdmissionQueue, Offer, QueueSettings, Waiting};
+use tallybridge_overload::{
+    AdmissionLevel, ConcurrencyLimit, EarlyRefusal, LevelSettings, LimitSettings, Sample,
+    SampleResult,
 };
 
 const TICK: Duration = Duration::from_millis(10);
--- a/crates/tallybridge-limits/tests/backend_under_load.rs
+++ b/crates/standalone/tallybridge-overload/tests/backend_under_load.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 use backend_model::{CLASS_SHARES, Model, Outcome, Scenario, TICKS_PER_SECOND};
-use tallybridge_limits::{LimitSettings, QueueSettings};
+use tallybridge_limits::QueueSettings;
+use tallybridge_overload::LimitSettings;
 
 const SLOTS: [usize; 3] = [6, 12, 20];
 const LOADS: [f64; 4] = [1.0, 2.0, 4.0, 8.0];
--- a/crates/tallybridge-limits/tests/concurrency_limit.rs
+++ b/crates/standalone/tallybridge-overload/tests/concurrency_limit.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use tallybridge_limits::{ConcurrencyLimit, LimitSettings, Ramp, Sample, SampleResult};
+use tallybridge_overload::{ConcurrencyLimit, LimitSettings, Ramp, Sample, SampleResult};
 
 const SETTINGS: LimitSettings = LimitSettings {
     initial: 10,
--- a/crates/tallybridge-limits/tests/early_refusal.rs
+++ b/crates/standalone/tallybridge-overload/tests/early_refusal.rs
@@ -5,7 +5,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use tallybridge_core::{Criticality, LoadReport};
-use tallybridge_limits::{AdmissionLevel, EarlyRefusal, LevelSettings};
+use tallybridge_overload::{AdmissionLevel, EarlyRefusal, LevelSettings};
 
 const SETTINGS: LevelSettings = LevelSettings {
     target_delay: Duration::from_millis(50),
--- a/crates/tallybridge-mesh/src/lib.rs
+++ b/crates/tallybridge-mesh/src/lib.rs
@@ -20,6 +20,7 @@
 pub mod run;
 pub mod seam;
 pub mod settings;
+pub mod slot_share;
 pub mod store;
 pub mod tables;
 pub mod tenants;
--- a/crates/tallybridge-mesh/src/work.rs
+++ b/crates/tallybridge-mesh/src/work.rs
@@ -7,10 +7,10 @@
 };
 
 use tallybridge_core::Criticality;
-use tallybridge_limits::{AdmissionQueue, Offer, QueueSettings, SlotShare, Ticket, Waiting};
+use tallybridge_limits::{AdmissionQueue, Offer, QueueSettings, Ticket, Waiting};
 use tokio::{sync::oneshot, time::Instant};
 
-use crate::{offered_work::OfferedWork, tables::load::Load};
+use crate::{offered_work::OfferedWork, slot_share::SlotShare, tables::load::Load};
 
 /// Slots that a back end is given before it told how many it has.
 const FIRST_SLOTS: u32 = 16;
