--- a/crates/tallybridge-mesh/examples/crash_cost.rs
+++ b/crates/tallybridge-mesh/examples/crash_cost.rs
@@ -8,10 +8,12 @@
 use bytes::Bytes;
 use tallybridge_mesh::clock::Moment;
 use tallybridge_mesh::{
-    crashes::{CallContent, CrashReport, ExposedCalls, ExposureEnd, Quarantine, RequestDigest},
-    peer::message::CallMessage,
-    seam::HeaderNames,
-    tables::Incarnation,
+    platform::HeaderNames,
+    protocol::{CallMessage, CrashReport, RequestDigest},
+    tables::{
+        Incarnation,
+        quarantine::{CallContent, ExposedCalls, ExposureEnd, Quarantine},
+    },
 };
 
 const ROUNDS: usize = 21;
--- a/crates/tallybridge-mesh/src/configuration.rs
+++ b/crates/tallybridge-mesh/src/configuration/mod.rs
@@ -1,5 +1,7 @@
 //! The configuration that the platform's operator owns: routes, services and limits, by version.
 
+pub mod tenants;
+
 use std::{
     collections::HashMap,
     sync::{
@@ -11,7 +13,8 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::{http::HttpLimits, tenants::TenantDirectory};
+use self::tenants::TenantDirectory;
+use crate::http::HttpLimits;
 
 /// What may be done with a request that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/tallybridge-mesh/src/http/mod.rs
+++ b/crates/tallybridge-mesh/src/http/mod.rs
@@ -8,12 +8,13 @@
 pub mod body;
 pub mod client;
 pub mod head;
-mod kept;
+mod persistent;
+pub mod pool;
 pub mod server;
 
 pub use answer::Answer;
 pub use body::{BodyError, BodyLength, BodyReader};
 pub use client::{Connection, ExchangeError, ExchangeStage, Received};
 pub use head::{HeadError, HeaderLines, RequestHead, ResponseHead};
-pub use kept::KeptConnection;
+pub use persistent::KeptConnection;
 pub use server::{HttpLimits, Request, RequestHandler, serve_connection};
--- a/crates/tallybridge-mesh/src/door/backend.rs
+++ b/crates/tallybridge-mesh/src/http/pool.rs
@@ -8,7 +8,7 @@
 
 use tokio::time::Instant;
 
-use crate::http::{Connection, ExchangeError, Received, ResponseHead, client::connect};
+use super::{Connection, ExchangeError, Received, ResponseHead, client::connect};
 
 /// Longest wait for a connection to the back end, which is on the same machine.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
--- a/crates/tallybridge-mesh/src/lib.rs
+++ b/crates/tallybridge-mesh/src/lib.rs
@@ -1,37 +1,35 @@
 //! Calls of a service graph, routed by host and path over a fleet of nodes beside back ends.
 //!
-//! The data path of a fleet whose platform owns the configuration: an entry takes a request off a
-//! caller's connection, picks a route, a service and an executor, and the executor hands it to the
-//! back end beside it. Everything that depends on the platform comes in through [`seam`].
+//! A call goes straight down: a [`listener`] reads it, [`request`] admits it, places it and forwards it over a
+//! [`link`] to the executor, which dispatches it to the back end beside it over [`http`]. What is decided by
+//! stands in [`tables`]; [`node`] holds the tables of one process and what is asked of them; [`tasks`] keep
+//! them up to date. Everything that depends on the platform comes in through the [`platform::Platform`] trait.
+//!
+//! Each layer uses those below it only: `run`, `listener`, `request` and `tasks`, `node`, `tables`, `link`,
+//! `protocol`, `http`, then `configuration`, `settings`, `platform`, `log` and `clock`.
 
 pub mod clock;
 pub mod configuration;
-pub mod crashes;
-pub mod decision_log;
-pub mod door;
 pub mod http;
-pub mod log_limit;
+pub mod link;
+pub mod listener;
+pub mod log;
 pub mod node;
-pub mod offered_work;
-pub mod path;
-pub mod peer;
+pub mod platform;
 pub mod policy;
-pub mod reload;
+pub mod protocol;
+pub mod request;
 pub mod run;
-pub mod seam;
 pub mod settings;
-pub mod slot_share;
-pub mod store;
 pub mod tables;
-pub mod tenants;
-pub mod work;
+pub mod tasks;
 
 pub use configuration::{Configuration, Route, RouteKind, RoutePart, ServicePolicy};
-pub use policy::{PolicySettings, PolicySwitch};
-pub use reload::SettingsSource;
-pub use run::run;
-pub use seam::{
+pub use platform::{
     ControlRequest, HeaderNames, InstanceReport, Platform, RegisterPage, ReportedState, StoreError,
     StoreFuture, StoredConfiguration, WatchedConfiguration,
 };
+pub use policy::{PolicySettings, PolicySwitch};
+pub use run::run;
 pub use settings::{MeshSettings, SettingOrigin, SettingRow, SettingsError};
+pub use tasks::reload::SettingsSource;
--- a/crates/tallybridge-mesh/src/peer/frames.rs
+++ b/crates/tallybridge-mesh/src/link/framing.rs
@@ -9,7 +9,7 @@
     sync::mpsc,
 };
 
-use super::message::Frame;
+use crate::protocol::Frame;
 
 /// Time after which unacknowledged bytes end a link.
 pub const LINK_SILENCE: Duration = Duration::from_millis(2500);
--- a/crates/tallybridge-mesh/src/peer/link.rs
+++ b/crates/tallybridge-mesh/src/link/mod.rs
@@ -1,5 +1,7 @@
 //! A link that this node opened to another: calls go out on it, answers come back.
 
+pub mod framing;
+
 use std::{
     collections::HashMap,
     sync::{
@@ -15,11 +17,10 @@
     time::{Instant, sleep},
 };
 
-use super::message::{CallMessage, Frame, Message};
+use crate::protocol::{CallMessage, Frame, Message};
 use crate::{
     clock::Moment,
-    tables::{Load, SlotTimes},
-    tenants::quota::{QuotaAsk, QuotaGrant},
+    protocol::{Load, QuotaAsk, QuotaGrant, SlotTimes},
 };
 
 /// A link that carries calls is asked for a sign of life after this time without one.
@@ -249,7 +250,7 @@
     }
 
     /// Something came from the other node: it lives.
-    pub(super) fn received(&self, now: Instant) {
+    pub(crate) fn received(&self, now: Instant) {
         let mut state = self.state();
         state.received_at = now;
         state.pinged_at = None;
@@ -274,7 +275,7 @@
     }
 
     /// A call came back.
-    pub(super) fn complete(&self, call: u32, reply: Reply) {
+    pub(crate) fn complete(&self, call: u32, reply: Reply) {
         let waiting = self.state().waiting.remove(&call);
         if let Some(waiting) = waiting {
             // The caller may have given up meanwhile.
@@ -283,7 +284,7 @@
     }
 
     /// Waits until the other node has been silent for too long.
-    pub(super) async fn silent_too_long(&self) {
+    pub(crate) async fn silent_too_long(&self) {
         self.closing.notified().await;
     }
 
@@ -293,7 +294,7 @@
     }
 
     /// Waits until the link is not needed and no call is under way on it.
-    pub(super) async fn retired(&self) {
+    pub(crate) async fn retired(&self) {
         self.retiring.notified().await;
         while !self.state().waiting.is_empty() {
             sleep(RETIRE_LOOK).await;
@@ -301,7 +302,7 @@
     }
 
     /// The connection is lost, and with it every call under way.
-    pub(super) fn close(&self) {
+    pub(crate) fn close(&self) {
         let mut state = self.state();
         state.is_closed = true;
         for (_, waiting) in state.waiting.drain() {
--- /dev/null
+++ b/crates/tallybridge-mesh/src/listener/callers.rs
@@ -0,0 +1,29 @@
+//! Where callers, and the back end with its nested calls, send requests to.
+
+use std::sync::Arc;
+
+use crate::{
+    http::{Answer, HttpLimits, Request, RequestHandler},
+    node::Node,
+    request::entry,
+};
+
+/// Answers callers.
+#[derive(Clone)]
+pub struct CallerHandler(pub Arc<Node>);
+
+impl RequestHandler for CallerHandler {
+    async fn handle(&self, request: Request) -> Answer {
+        entry::handle(&self.0, request).await
+    }
+
+    fn limits(&self) -> HttpLimits {
+        self.0
+            .configuration()
+            .map_or_else(HttpLimits::default, |configuration| configuration.limits)
+    }
+
+    fn is_closing(&self) -> bool {
+        self.0.is_stopping()
+    }
+}
--- a/crates/tallybridge-mesh/src/door/caller.rs
+++ b/crates/tallybridge-mesh/src/listener/mod.rs
@@ -1,14 +1,16 @@
-//! Where callers, and the back end with its nested calls, send requests to.
+//! The addresses at which a node is reached: by callers, by the back end's reports, by other nodes, and for
+//! its metrics.
 
-use std::{sync::Arc, time::Duration};
+pub mod callers;
+pub mod control;
+pub mod metrics;
+pub mod peers;
+
+use std::time::Duration;
 
 use tokio::net::TcpListener;
 
-use crate::{
-    http::{Answer, HttpLimits, Request, RequestHandler, serve_connection},
-    node::Node,
-    path::entry,
-};
+use crate::http::{RequestHandler, serve_connection};
 
 /// Wait after an accept that failed, as when descriptors have run out.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
@@ -28,23 +30,3 @@
         }
     }
 }
-
-/// Answers callers.
-#[derive(Clone)]
-pub struct CallerHandler(pub Arc<Node>);
-
-impl RequestHandler for CallerHandler {
-    async fn handle(&self, request: Request) -> Answer {
-        entry::handle(&self.0, request).await
-    }
-
-    fn limits(&self) -> HttpLimits {
-        self.0
-            .configuration()
-            .map_or_else(HttpLimits::default, |configuration| configuration.limits)
-    }
-
-    fn is_closing(&self) -> bool {
-        self.0.is_stopping()
-    }
-}
--- a/crates/tallybridge-mesh/src/peer/accept.rs
+++ b/crates/tallybridge-mesh/src/listener/peers.rs
@@ -15,20 +15,19 @@
     time::timeout,
 };
 
-use super::{
-    frames::{LINK_SILENCE, next_frame, write_frames},
-    message::{CallMessage, Frame, Message},
-};
 use crate::{
     clock::Moment,
     http::client::notice_silence,
     node::{Confirmed, Node},
-    path::{
+    protocol::{NodeRecord, QuotaAsk, QuotaGrant},
+    request::{
         execute::{Answered, Executed, execute},
         quota,
     },
-    tables::NodeRecord,
-    tenants::quota::{QuotaAsk, QuotaGrant},
+};
+use crate::{
+    link::framing::{LINK_SILENCE, next_frame, write_frames},
+    protocol::{CallMessage, Frame, Message},
 };
 
 /// Time in which a node that connects must say who it is.
--- a/crates/tallybridge-mesh/src/decision_log.rs
+++ b/crates/tallybridge-mesh/src/log/decisions.rs
@@ -13,7 +13,7 @@
 use tallybridge_core::{ErrorKind, Refusal};
 use tokio::time::Instant;
 
-use crate::tables::Load;
+use crate::protocol::Load;
 
 /// Lines of one kind and place in each span of time.
 const LINES_PER_SPAN: u32 = 5;
--- /dev/null
+++ b/crates/tallybridge-mesh/src/log/mod.rs
@@ -0,0 +1,4 @@
+//! Bounds on what the log is given.
+
+pub mod decisions;
+pub mod rate_limit;
--- a/crates/tallybridge-mesh/src/log_limit.rs
+++ b/crates/tallybridge-mesh/src/log/rate_limit.rs
@@ -1,6 +1,9 @@
 //! Log lines at a bounded rate.
 
-use std::{sync::Mutex, sync::PoisonError, time::Duration};
+use std::{
+    sync::{Mutex, PoisonError},
+    time::Duration,
+};
 
 use tokio::time::Instant;
 
--- a/crates/tallybridge-mesh/src/node/backend.rs
+++ b/crates/tallybridge-mesh/src/node/backend.rs
@@ -6,8 +6,9 @@
 use super::{Node, Tables};
 use crate::{
     clock::Moment,
-    seam::InstanceReport,
-    tables::{Ended, FailingChange, Incarnation, InstanceState, Load, ReportEffect},
+    platform::InstanceReport,
+    protocol::Load,
+    tables::{Ended, FailingChange, Incarnation, InstanceState, ReportEffect},
 };
 
 impl Node {
--- a/crates/tallybridge-mesh/src/node/configuration.rs
+++ b/crates/tallybridge-mesh/src/node/configuration.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 
 use super::{InForce, Node};
-use crate::{clock::Moment, configuration::Configuration, peer::link::Link};
+use crate::{clock::Moment, configuration::Configuration, link::Link};
 
 impl Node {
     /// The configuration in force.
--- a/crates/tallybridge-mesh/src/node/mod.rs
+++ b/crates/tallybridge-mesh/src/node/mod.rs
@@ -1,11 +1,16 @@
 //! A node: its tables, and what its tasks ask of them.
 
+mod admission;
 mod backend;
 mod configuration;
-mod crashes;
-mod fleet;
-mod life;
-mod tenants;
+mod lifecycle;
+mod peers;
+mod quarantine;
+mod quotas;
+mod registration;
+mod retries;
+mod running;
+mod status;
 
 use std::{
     collections::HashMap,
@@ -20,26 +25,27 @@
 use tallybridge_core::ErrorKind;
 use tokio::{sync::watch, time::Instant};
 
-use self::tenants::QuotaTables;
+use self::quotas::QuotaTables;
 pub use self::{
     configuration::{Confirmed, WaitingWatch, WatchView, WatcherRole},
-    crashes::{ExposedCall, watch_for_crashes},
-    fleet::{NestedCall, RunningAttempt},
-    life::RequestInFlight,
+    lifecycle::RequestInFlight,
+    quarantine::ExposedCall,
+    running::{NestedCall, RunningAttempt},
 };
 use crate::{
     clock::{self, Moment},
     configuration::Configuration,
-    crashes::{ExposedCalls, Quarantine},
-    decision_log::DecisionLog,
-    door::backend::BackendPool,
-    seam::{HeaderNames, Platform},
+    http::pool::BackendPool,
+    log::decisions::DecisionLog,
+    platform::{HeaderNames, Platform},
+    protocol::{NodeRecord, PeerStatus},
     settings::MeshSettings,
     tables::{
-        FailingShare, LocalInstance, NodeRecord, PeerStatus, PeerTable, RetryBudgets, RootShedding,
+        FailingShare, LinkOrder, LocalInstance, PeerTable, RetryBudgets, RootShedding,
         RunningAttempts, ServiceViews, WatcherTable,
+        backend::slots::Work,
+        quarantine::{ExposedCalls, Quarantine},
     },
-    work::Work,
 };
 
 /// Time for which a service counts as called by the back end.
@@ -163,6 +169,8 @@
     began: Moment,
     tables: Mutex<Tables>,
     publish: watch::Sender<u64>,
+    /// Links that are to be opened.
+    link_orders: watch::Sender<Vec<LinkOrder>>,
     is_stopping: AtomicBool,
     refuses_work: AtomicBool,
     is_isolated: AtomicBool,
@@ -278,6 +286,7 @@
             began: Moment::now(),
             tables: Mutex::new(tables),
             publish: watch::Sender::new(0),
+            link_orders: watch::Sender::new(Vec::new()),
             is_stopping: AtomicBool::new(false),
             refuses_work: AtomicBool::new(false),
             is_isolated: AtomicBool::new(false),
--- a/crates/tallybridge-mesh/src/node/crashes.rs
+++ b/crates/tallybridge-mesh/src/node/quarantine.rs
@@ -1,33 +1,19 @@
 //! What a node does when the back end beside it ends without notice, and how all nodes learn of it.
 
-use std::{
-    io,
-    sync::{Arc, atomic::Ordering},
-    time::Duration,
-};
-
-use rand::seq::IteratorRandom;
-use tallybridge_core::{ErrorKind, Refusal};
-use tokio::{
-    net::TcpStream,
-    time::{sleep, timeout},
-};
+use std::sync::{Arc, atomic::Ordering};
 
 use super::{Node, Tables};
 use crate::{
     clock::Moment,
-    crashes::{
-        CallContent, CrashReport, ExposureEnd, ExposureId, HeldRequest, RequestDigest,
-        exposed::Exposure,
+    protocol::{CallMessage, CrashReport, Frame, HeldRequest, Message, RequestDigest},
+    tables::{
+        Ended, Incarnation,
+        quarantine::{CallContent, Exposure, ExposureEnd, ExposureId},
     },
-    peer::message::{CallMessage, Frame, Message},
-    tables::{Ended, Incarnation},
 };
+use rand::seq::IteratorRandom;
+use tallybridge_core::{ErrorKind, Refusal};
 
-/// Time in which all calls at a back end that has ended are found to be broken off.
-const SETTLE: Duration = Duration::from_millis(5);
-/// Longest wait for a connection that shows whether the back end, on the same machine, still listens.
-const PROBE: Duration = Duration::from_millis(500);
 /// Peers that a node passes news of crashes on to, drawn at random. With 12 each, one node in 160,000 is
 /// passed over by all others; it learns from the first link that it opens next.
 const PASSED_ON_TO: usize = 12;
@@ -71,32 +57,25 @@
     }
 }
 
-/// Finds out whether the back end ended whenever all calls at it broke off.
-pub async fn watch_for_crashes(node: Arc<Node>) {
-    loop {
-        node.call_broke.notified().await;
-        sleep(SETTLE).await;
-        if node.tables().exposed.all_broke() {
-            node.probe_back_end().await;
-        }
+impl Node {
+    /// Waits until a call at the back end breaks off.
+    pub async fn call_broke(&self) {
+        self.call_broke.notified().await;
     }
-}
 
-impl Node {
-    /// A back end that refuses connections has ended: nothing but a process that is gone does, on the
-    /// same machine. One that lets a connection in lives, and what broke off was a connection each. If
-    /// neither shows, the instance that answers next tells, or the start that its reports name.
-    async fn probe_back_end(&self) {
-        let connecting = TcpStream::connect(self.settings.backend.address);
-        let is_gone = match timeout(PROBE, connecting).await {
-            Ok(Ok(_)) => false,
-            Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => true,
-            _ => return,
-        };
-        if !is_gone {
-            self.tables().exposed.absolve_broken();
-            return;
-        }
+    /// Whether calls were broken off and none goes on that began before: so it looks when a back end ends.
+    #[must_use]
+    pub fn have_all_calls_broken(&self) -> bool {
+        self.tables().exposed.all_broke()
+    }
+
+    /// The back end lives: what broke off was a connection each.
+    pub fn absolve_broken_calls(&self) {
+        self.tables().exposed.absolve_broken();
+    }
+
+    /// The back end refuses connections: it has ended.
+    pub fn backend_ended(&self) {
         let crash = {
             let mut tables = self.tables();
             tables.take_crash(Moment::now())
--- a/crates/tallybridge-mesh/src/node/tenants.rs
+++ b/crates/tallybridge-mesh/src/node/quotas.rs
@@ -5,12 +5,11 @@
 use super::{Node, Tables};
 use crate::{
     clock::Moment,
-    tables::TenantHome,
-    tenants::{
-        Tenant,
-        quota::{
-            HeldAnswer, HeldTokens, LifeSpending, QuotaAsk, QuotaGrant, QuotaHome, QuotaSlack,
-        },
+    configuration::tenants::Tenant,
+    protocol::{LifeSpending, QuotaAsk, QuotaGrant},
+    tables::{
+        TenantHome,
+        quotas::{HeldAnswer, HeldTokens, QuotaHome, QuotaSlack},
     },
 };
 
--- /dev/null
+++ b/crates/tallybridge-mesh/src/node/registration.rs
@@ -0,0 +1,35 @@
+//! This node's entry in the register of nodes.
+
+use std::sync::atomic::Ordering;
+
+use super::Node;
+
+impl Node {
+    /// Waits until what the node registers of itself has changed.
+    pub async fn record_changed(&self) {
+        self.record_changed.notified().await;
+    }
+
+    /// The register was read: the nodes that were there are known.
+    pub fn register_read(&self) {
+        self.has_read_register.store(true, Ordering::Relaxed);
+    }
+
+    /// Whether the register was read since the start.
+    #[must_use]
+    pub fn has_read_register(&self) -> bool {
+        self.has_read_register.load(Ordering::Relaxed)
+    }
+
+    /// The node is registered under a lease.
+    pub fn registered(&self, lease: u64) {
+        self.lease.store(lease, Ordering::Relaxed);
+    }
+
+    /// The lease of the registration.
+    #[must_use]
+    pub fn lease(&self) -> Option<u64> {
+        let lease = self.lease.load(Ordering::Relaxed);
+        (lease != 0).then_some(lease)
+    }
+}
--- a/crates/tallybridge-mesh/src/peer/message/mod.rs
+++ b/crates/tallybridge-mesh/src/protocol/mod.rs
@@ -1,15 +1,22 @@
 //! Messages between nodes: a header of fixed fields (`deku`), then bytes that are passed on.
 
+mod load;
 mod payload;
+mod peer;
+mod quarantine;
+mod quota;
+mod slot_times;
 
 use bytes::{Buf, Bytes, BytesMut};
 use deku::prelude::*;
 
 use self::payload::{decode_payload, fields};
-use crate::{
-    crashes::{CrashReport, HeldRequest, RequestDigest},
-    tables::{Load, PeerStatus, SlotTimes},
-    tenants::quota::{QuotaAsk, QuotaGrant},
+pub use self::{
+    load::Load,
+    peer::{BackendState, NodeRecord, PeerStatus},
+    quarantine::{CrashReport, DIGEST_BYTES, HeldRequest, MalformedDigest, RequestDigest},
+    quota::{LifeSpending, QuotaAsk, QuotaGrant, WindowSpending},
+    slot_times::{ServiceTime, SlotTimes},
 };
 
 /// Version of the protocol. Nodes refuse a peer that speaks another one.
@@ -72,7 +79,7 @@
 /// One message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Message {
-    /// Who the sender is, as a JSON [`crate::tables::NodeRecord`].
+    /// Who the sender is, as a JSON [`NodeRecord`].
     Hello(Bytes),
     /// Asks for the other nodes that the receiver knows.
     FetchNodes,
--- a/crates/tallybridge-mesh/src/peer/message/payload.rs
+++ b/crates/tallybridge-mesh/src/protocol/payload.rs
@@ -5,12 +5,11 @@
 use bytes::Bytes;
 use deku::prelude::*;
 
-use super::{CallMessage, Message};
-use crate::{
-    crashes::{CrashReport, HeldRequest, RequestDigest, digest::DIGEST_BYTES},
-    tables::{BackendState, Load, PeerStatus, ServiceTime, SlotTimes},
-    tenants::quota::{LifeSpending, QuotaAsk, QuotaGrant, WindowSpending},
+use super::{
+    BackendState, CrashReport, DIGEST_BYTES, HeldRequest, LifeSpending, Load, PeerStatus, QuotaAsk,
+    QuotaGrant, RequestDigest, ServiceTime, SlotTimes, WindowSpending,
 };
+use super::{CallMessage, Message};
 
 /// Size of a [`CallFields`], in bytes.
 const CALL_BYTES: usize = 18;
--- a/crates/tallybridge-mesh/src/tables/peers/record.rs
+++ b/crates/tallybridge-mesh/src/protocol/peer.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::tables::Load;
+use super::Load;
 
 /// What a node tells of itself when it registers and when it opens a link.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/tallybridge-mesh/src/tenants/quota/mod.rs
+++ b/crates/tallybridge-mesh/src/protocol/quota.rs
@@ -1,30 +1,7 @@
-//! Limits of tenants, kept by the whole fleet.
-//!
-//! Each tenant has a *home*: the node that ranks first for it among those that a node reaches
-//! (rendezvous hashing). The home keeps one token bucket for the tenant; an entry asks it for a
-//! token before it lets a request in, and for a few ahead where the tenant's requests come fast.
-//! Tokens expire soon, so that few lie unused. A node that has just become a home begins with
-//! a quarter of what users allow beyond the limit: what the home before it gave out is not
-//! known any more. What entries let in within the last window they tell with each ask, so that however
-//! often the home changes, no more is given out than a window may hold. They also tell what the last home
-//! told them of all others: a new home knows it with the first ask, before those have asked that are
-//! quiet or were restarted.
-
-mod bucket;
-mod held;
-mod home;
-mod spending;
-mod window;
+//! What nodes ask and tell each other of the limits of tenants.
 
 use std::time::Duration;
 
-pub use self::{
-    bucket::TokenBucket,
-    held::{HeldAnswer, HeldTokens},
-    home::{QuotaHome, QuotaSlack},
-    window::{LifeSpending, WindowSpending},
-};
-
 /// What an entry asks a home for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QuotaAsk {
@@ -58,3 +35,19 @@
     /// The node that was asked does not take itself for the tenant's home.
     NotHome,
 }
+
+/// What a home gave out in one life of it, as nodes tell each other.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct LifeSpending {
+    /// The life.
+    pub life: u32,
+    /// All that it gave out so far: of two tellings the greater is the newer.
+    pub total: u32,
+    /// Milliseconds since the newest part began.
+    pub age_ms: u16,
+    /// Requests by part, the newest first, up to the last that has any.
+    pub requests: Vec<u16>,
+}
+
+/// What is known of all lives within the window.
+pub type WindowSpending = Vec<LifeSpending>;
--- a/crates/tallybridge-mesh/src/path/credentials.rs
+++ b/crates/tallybridge-mesh/src/request/credentials.rs
@@ -6,10 +6,9 @@
 
 use super::entry::{COME_BACK, CONFIGURATION_TRUSTED};
 use crate::{
-    configuration::{Configuration, Route},
+    configuration::{Configuration, Route, tenants::Tenant},
     http::HeaderLines,
     node::Node,
-    tenants::Tenant,
 };
 
 /// The tenant whose key a request carries; `None` where none is needed. What the request says of its
--- a/crates/tallybridge-mesh/src/path/entry.rs
+++ b/crates/tallybridge-mesh/src/request/entry.rs
@@ -9,21 +9,23 @@
 use rand::Rng;
 use tallybridge_core::{Criticality, ErrorKind, Outcome, Refusal};
 
+use super::execute::Answered;
 use super::{
-    carry::{Call, Unanswered, carry},
     credentials::tenant_of,
+    forward::{Call, Unanswered, carry},
     quota,
 };
 use crate::{
     clock::Moment,
-    configuration::Route,
-    decision_log::EntryFacts,
+    configuration::{
+        Route,
+        tenants::{Tenant, TenantRank},
+    },
     http::{Answer, Request, head::write_line},
+    log::decisions::EntryFacts,
     node::{NestedCall, Node},
-    path::execute::Answered,
-    peer::message::CallMessage,
+    protocol::CallMessage,
     tables::{NestedEnd, Parent},
-    tenants::{Tenant, TenantRank},
 };
 
 /// Share of the target latency in which a request is refused rather than held.
--- a/crates/tallybridge-mesh/src/path/execute.rs
+++ b/crates/tallybridge-mesh/src/request/execute.rs
@@ -10,14 +10,15 @@
 
 use crate::{
     clock::{Moment, timeout_at},
-    crashes::ExposureEnd,
-    decision_log::ExecutorFacts,
-    door::backend::Lent,
-    http::{Answer, ExchangeError, ExchangeStage, Received, head::write_line},
+    http::{Answer, ExchangeError, ExchangeStage, Received, head::write_line, pool::Lent},
+    log::decisions::ExecutorFacts,
     node::Node,
-    peer::message::CallMessage,
-    tables::{Incarnation, InstanceState, Parent, SlotTimes},
-    work::{NoSlot, Slot},
+    protocol::{CallMessage, SlotTimes},
+    tables::{
+        Incarnation, InstanceState, Parent,
+        backend::slots::{NoSlot, Slot},
+        quarantine::ExposureEnd,
+    },
 };
 
 /// A call with less time left is not handed over.
--- a/crates/tallybridge-mesh/src/path/carry.rs
+++ b/crates/tallybridge-mesh/src/request/forward.rs
@@ -12,15 +12,12 @@
 use super::execute::{Answered, Executed, execute, is_untouched};
 use crate::{
     clock::{Moment, timeout_at},
-    configuration::Route,
+    configuration::{Route, tenants::Tenant},
     http::Answer,
+    link::{Link, LinkError, Reply},
     node::Node,
-    peer::{
-        link::{Link, LinkError, Reply},
-        message::CallMessage,
-    },
+    protocol::CallMessage,
     tables::{Choice, Executor, FirstSending},
-    tenants::Tenant,
 };
 
 /// Times a call is sent elsewhere after refusals that reached no back end.
--- a/crates/tallybridge-mesh/src/path/mod.rs
+++ b/crates/tallybridge-mesh/src/request/mod.rs
@@ -1,7 +1,7 @@
 //! The path of a request: the entry that routes it, and the executor beside the back end.
 
-pub mod carry;
 mod credentials;
 pub mod entry;
 pub mod execute;
+pub mod forward;
 pub mod quota;
--- a/crates/tallybridge-mesh/src/path/quota.rs
+++ b/crates/tallybridge-mesh/src/request/quota.rs
@@ -11,13 +11,11 @@
 use super::entry::COME_BACK;
 use crate::{
     clock::Moment,
+    configuration::tenants::Tenant,
+    link::{Link, Reply},
     node::Node,
-    peer::link::{Link, Reply},
-    tables::TenantHome,
-    tenants::{
-        Tenant,
-        quota::{HeldAnswer, QuotaAsk, QuotaGrant},
-    },
+    protocol::{QuotaAsk, QuotaGrant},
+    tables::{TenantHome, quotas::HeldAnswer},
 };
 
 /// Longest wait for the answer of a tenant's home, many times what a busy node takes.
--- a/crates/tallybridge-mesh/src/run.rs
+++ b/crates/tallybridge-mesh/src/run.rs
@@ -10,17 +10,22 @@
 };
 
 use crate::{
-    door::{
-        caller::{CallerHandler, serve},
-        control::{ControlHandler, verify_instance},
-        metrics::MetricsHandler,
+    listener::{
+        callers::CallerHandler, control::ControlHandler, metrics::MetricsHandler,
+        peers::accept_peers, serve,
     },
-    node::{Node, watch_for_crashes},
-    peer::accept::accept_peers,
-    reload::{SettingsSource, reload_settings},
-    seam::Platform,
+    node::Node,
+    platform::Platform,
     settings::MeshSettings,
-    store,
+    tasks::{
+        configuration::{follow_configuration, follow_peers_configuration, read_for_keys},
+        crash_detection::watch_for_crashes,
+        health::verify_instance,
+        links::open_links,
+        registration::{keep_registered, unregister},
+        reload::{SettingsSource, reload_settings},
+        stored_quarantine::keep_holds,
+    },
 };
 
 /// Time between looks at links and load.
@@ -86,17 +91,18 @@
     let listeners = Listeners::bind(&mut settings)?;
     let node = Arc::new(Node::new(settings, platform));
     tokio::spawn(accept_peers(node.clone(), listeners.peers));
+    tokio::spawn(open_links(node.clone()));
     tokio::spawn(serve(CallerHandler(node.clone()), listeners.callers));
     tokio::spawn(serve(ControlHandler(node.clone()), listeners.ready));
     tokio::spawn(serve(ControlHandler(node.clone()), listeners.reports));
     tokio::spawn(serve(MetricsHandler(node.clone()), listeners.metrics));
     tokio::spawn(verify_instance(node.clone()));
     tokio::spawn(watch_for_crashes(node.clone()));
-    tokio::spawn(store::follow_configuration(node.clone()));
-    tokio::spawn(store::follow_peers_configuration(node.clone()));
-    tokio::spawn(store::read_for_keys(node.clone()));
-    tokio::spawn(store::keep_registered(node.clone()));
-    tokio::spawn(store::keep_holds(node.clone()));
+    tokio::spawn(follow_configuration(node.clone()));
+    tokio::spawn(follow_peers_configuration(node.clone()));
+    tokio::spawn(read_for_keys(node.clone()));
+    tokio::spawn(keep_registered(node.clone()));
+    tokio::spawn(keep_holds(node.clone()));
     tokio::spawn(tick(node.clone()));
     Ok(node)
 }
@@ -175,6 +181,6 @@
             quiet_since = Instant::now();
         }
     }
-    store::unregister(node).await;
+    unregister(node).await;
     tracing::info!(cut_off = node.requests_in_flight(), "node stopped");
 }
--- a/crates/tallybridge-mesh/src/settings.rs
+++ b/crates/tallybridge-mesh/src/settings.rs
@@ -4,7 +4,7 @@
 
 use serde::Deserialize;
 
-use crate::{policy::PolicySettings, tenants::quota::QuotaSlack};
+use crate::{policy::PolicySettings, tables::quotas::QuotaSlack};
 
 /// Everything that a mesh node is told. Times are in milliseconds.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
--- a/crates/tallybridge-mesh/src/tables/shedding/costs.rs
+++ b/crates/tallybridge-mesh/src/tables/admission/costs.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashMap, sync::Arc};
 
-use crate::tables::SlotTimes;
+use crate::protocol::SlotTimes;
 
 /// Weight of the newest answer in the mean costs.
 const GAIN: f64 = 0.05;
--- a/crates/tallybridge-mesh/src/tables/shedding/mod.rs
+++ b/crates/tallybridge-mesh/src/tables/admission/mod.rs
@@ -17,8 +17,11 @@
     costs::RouteCosts,
     level::{AdmissionLevel, tenant_weight, weight},
 };
-use super::SlotTimes;
-use crate::{configuration::Route, policy::PolicySettings, tenants::TenantRank};
+use crate::protocol::SlotTimes;
+use crate::{
+    configuration::{Route, tenants::TenantRank},
+    policy::PolicySettings,
+};
 
 /// Share that is let in while a service that is needed has no back end. The nodes tell when it is
 /// back, so hardly any request is needed to find out.
--- a/crates/tallybridge-mesh/src/tables/shedding/services.rs
+++ b/crates/tallybridge-mesh/src/tables/admission/services.rs
@@ -6,7 +6,7 @@
 };
 
 use super::level::ServicePressure;
-use crate::tables::{Load, PeerStatus};
+use crate::protocol::{Load, PeerStatus};
 
 /// What one service looks like from here.
 #[derive(Debug, Default)]
--- a/crates/tallybridge-mesh/src/tables/instance.rs
+++ b/crates/tallybridge-mesh/src/tables/backend/instance.rs
@@ -4,8 +4,8 @@
 
 use tokio::time::Instant;
 
-use super::{incarnation::Incarnation, leavers::Leavers};
-use crate::seam::{InstanceReport, ReportedState};
+use super::{departures::Leavers, incarnation::Incarnation};
+use crate::platform::{InstanceReport, ReportedState};
 
 /// Time after which a back end that could not be reached is tried again.
 const RETRY_UNREACHABLE: Duration = Duration::from_millis(400);
--- a/crates/tallybridge-mesh/src/work.rs
+++ b/crates/tallybridge-mesh/src/tables/backend/slots.rs
@@ -10,7 +10,8 @@
 use tallybridge_limits::{AdmissionQueue, Offer, QueueSettings, Ticket, Waiting};
 use tokio::{sync::oneshot, time::Instant};
 
-use crate::{offered_work::OfferedWork, slot_share::SlotShare, tables::load::Load};
+use super::{offered_load::OfferedWork, slot_share::SlotShare};
+use crate::protocol::Load;
 
 /// Slots that a back end is given before it told how many it has.
 const FIRST_SLOTS: u32 = 16;
--- a/crates/tallybridge-mesh/src/tables/peers/settle.rs
+++ b/crates/tallybridge-mesh/src/tables/peers/linking.rs
@@ -5,9 +5,10 @@
 use tokio::time::Instant;
 
 use super::{
-    NodeRecord, PeerRow, PeerStatus, PeerTable,
+    PeerRow, PeerTable,
     subset::{LinkCandidate, choose_subset, subset_size},
 };
+use crate::protocol::{NodeRecord, PeerStatus};
 
 /// Time without any contact after which a node that was linked to is forgotten.
 const FORGET: Duration = Duration::from_secs(60);
--- a/crates/tallybridge-mesh/src/tables/peers/mod.rs
+++ b/crates/tallybridge-mesh/src/tables/peers/mod.rs
@@ -1,9 +1,8 @@
 //! The other nodes: where they are, what stands beside them, and how busy that is.
 
-mod choose;
-mod home;
-mod record;
-mod settle;
+mod linking;
+mod placement;
+mod quota_owner;
 mod subset;
 
 use std::{
@@ -15,15 +14,18 @@
 
 use tokio::time::Instant;
 
-use self::settle::{Contact, SpareNode};
+use self::linking::{Contact, SpareNode};
 pub use self::{
-    choose::{Choice, Executor},
-    home::TenantHome,
-    record::{BackendState, NodeRecord, PeerStatus},
-    settle::LinkOrder,
+    linking::LinkOrder,
+    placement::{Choice, Executor},
+    quota_owner::TenantHome,
+};
+
+use crate::{
+    link::Link,
+    policy::PolicySettings,
+    protocol::{Load, NodeRecord, PeerStatus},
 };
-use super::load::Load;
-use crate::{peer::link::Link, policy::PolicySettings};
 
 /// Time that an executor is passed over after it was lost or refused a call.
 const AVOID: Duration = Duration::from_millis(300);
--- a/crates/tallybridge-mesh/src/tables/peers/choose.rs
+++ b/crates/tallybridge-mesh/src/tables/peers/placement.rs
@@ -5,8 +5,9 @@
 use rand::Rng;
 use tokio::time::Instant;
 
-use super::{BackendState, PeerRow, PeerTable};
-use crate::{peer::link::Link, tables::Load};
+use super::{PeerRow, PeerTable};
+use crate::protocol::BackendState;
+use crate::{link::Link, protocol::Load};
 
 /// Added to the utilization of an executor in another zone: crossing costs bytes, not much time.
 const CROSSING_COST: f64 = 0.35;
--- a/crates/tallybridge-mesh/src/tables/peers/home.rs
+++ b/crates/tallybridge-mesh/src/tables/peers/quota_owner.rs
@@ -5,7 +5,7 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use super::PeerTable;
-use crate::peer::link::Link;
+use crate::link::Link;
 
 /// The home of a tenant.
 #[derive(Debug, Clone)]
--- a/crates/tallybridge-mesh/src/tables/peers/subset.rs
+++ b/crates/tallybridge-mesh/src/tables/peers/subset.rs
@@ -11,7 +11,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::NodeRecord;
+use crate::protocol::NodeRecord;
 
 /// Links that a node wants to have to the executors of all services together.
 const LINKS: usize = 256;
--- a/crates/tallybridge-mesh/src/crashes/exposed.rs
+++ b/crates/tallybridge-mesh/src/tables/quarantine/dispatched.rs
@@ -8,10 +8,11 @@
 use bytes::Bytes;
 
 use super::{
-    digest::{CallContent, ContentHashes, RequestDigest, RequestDigests},
-    recent::RecentAnswers,
+    digest::{CallContent, ContentHashes, RequestDigests},
+    recent_answers::RecentAnswers,
 };
-use crate::{clock::Moment, peer::message::CallMessage, seam::HeaderNames, tables::Incarnation};
+use crate::protocol::RequestDigest;
+use crate::{clock::Moment, platform::HeaderNames, protocol::CallMessage, tables::Incarnation};
 
 /// A call that was broken off is a suspect if the back end is found to have ended within this time:
 /// a back end is back some seconds after it ended, and is known by another id or start then.
--- a/crates/tallybridge-mesh/src/crashes/quarantine.rs
+++ b/crates/tallybridge-mesh/src/tables/quarantine/records.rs
@@ -11,8 +11,10 @@
 
 use rand::Rng;
 
-use super::digest::RequestDigest;
-use crate::clock::Moment;
+use crate::{
+    clock::Moment,
+    protocol::{CrashReport, HeldRequest, RequestDigest},
+};
 
 /// Crashes after which a request is held back: fewer would hold back what happened to be under way
 /// when back ends ended for reasons of their own.
@@ -48,26 +50,6 @@
 /// Time for which they are.
 const CLEARED_FOR: Duration = Duration::from_secs(60);
 
-/// A back end ended without notice, and these requests may be why.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct CrashReport {
-    /// Which report: drawn at random by its node.
-    pub id: u64,
-    /// Digests of what the back end was at work on.
-    pub suspects: Vec<RequestDigest>,
-}
-
-/// A request that is held back, or a suspect.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HeldRequest {
-    /// Which.
-    pub digest: RequestDigest,
-    /// Back ends that ended under it.
-    pub crashes: u8,
-    /// For how long it is still held back; zero for a suspect that is not.
-    pub left: Duration,
-}
-
 #[derive(Debug, Clone, Copy)]
 struct Record {
     crashes: u8,
--- a/crates/tallybridge-mesh/src/tenants/quota/bucket.rs
+++ b/crates/tallybridge-mesh/src/tables/quotas/bucket.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::{clock::Moment, tenants::RateLimit};
+use crate::{clock::Moment, configuration::tenants::RateLimit};
 
 /// Shortest time to come back that is told, in whole milliseconds as callers read it: none would mean
 /// at once.
--- a/crates/tallybridge-mesh/src/tenants/quota/held.rs
+++ b/crates/tallybridge-mesh/src/tables/quotas/entry.rs
@@ -2,11 +2,9 @@
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
-use super::{
-    spending::EntrySpending,
-    window::{FleetSpending, LifeSpending, WindowSpending},
-};
+use super::{epochs::FleetSpending, spending::EntrySpending};
 use crate::clock::Moment;
+use crate::protocol::{LifeSpending, WindowSpending};
 
 /// Life of tokens that were asked for ahead. What all entries hold together lies outside of the
 /// home's bucket, so it must be little beside the overage that users allow (a tenth of five
--- a/crates/tallybridge-mesh/src/tenants/quota/window.rs
+++ b/crates/tallybridge-mesh/src/tables/quotas/epochs.rs
@@ -7,7 +7,10 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use crate::clock::Moment;
+use crate::{
+    clock::Moment,
+    protocol::{LifeSpending, WindowSpending},
+};
 
 /// Parts of a window.
 const PARTS: usize = 20;
@@ -15,22 +18,6 @@
 /// window.
 const MAX_LIVES: usize = 64;
 
-/// What a home gave out in one life of it, as nodes tell each other.
-#[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct LifeSpending {
-    /// The life.
-    pub life: u32,
-    /// All that it gave out so far: of two tellings the greater is the newer.
-    pub total: u32,
-    /// Milliseconds since the newest part began.
-    pub age_ms: u16,
-    /// Requests by part, the newest first, up to the last that has any.
-    pub requests: Vec<u16>,
-}
-
-/// What is known of all lives within the window.
-pub type WindowSpending = Vec<LifeSpending>;
-
 #[derive(Debug)]
 struct Life {
     total: u32,
--- a/crates/tallybridge-mesh/src/tenants/quota/home.rs
+++ b/crates/tallybridge-mesh/src/tables/quotas/owner.rs
@@ -2,10 +2,11 @@
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
-use super::{QuotaAsk, QuotaGrant, TokenBucket, spending::ToldSpending, window::FleetSpending};
+use super::{TokenBucket, epochs::FleetSpending, spending::ToldSpending};
+use crate::protocol::{QuotaAsk, QuotaGrant};
 use crate::{
     clock::Moment,
-    tenants::{RateLimit, Tenant},
+    configuration::tenants::{RateLimit, Tenant},
 };
 
 /// Time without a question after which a bucket is forgotten. It is full again by then, or nearly.
--- a/crates/tallybridge-mesh/src/tenants/quota/spending.rs
+++ b/crates/tallybridge-mesh/src/tables/quotas/spending.rs
@@ -5,8 +5,8 @@
     time::Duration,
 };
 
-use super::QuotaAsk;
 use crate::clock::Moment;
+use crate::protocol::QuotaAsk;
 
 /// An entry at which a tenant is at its limit asks again within a window divided by this.
 const ASKS_WITHIN: u32 = 10;
--- a/crates/tallybridge-mesh/src/tables/running.rs
+++ b/crates/tallybridge-mesh/src/tables/running.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 
-use super::SlotTimes;
+use crate::protocol::SlotTimes;
 
 /// What a nested call inherits from the call that makes it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/tallybridge-mesh/src/store/configuration.rs
+++ b/crates/tallybridge-mesh/src/tasks/configuration.rs
@@ -5,12 +5,12 @@
 use rand::Rng;
 use tokio::time::{Instant, sleep};
 
-use super::{Backoff, count};
+use super::backoff::{Backoff, count};
 use crate::{
     clock::Moment,
     node::{Node, WatchView},
-    peer::message::{Frame, Message},
-    seam::{StoreError, WatchedConfiguration},
+    platform::{StoreError, WatchedConfiguration},
+    protocol::{Frame, Message},
 };
 
 /// Longest wait for a change in one call. Every call is paid for, so a watch waits long; that the
--- a/crates/tallybridge-mesh/src/door/control.rs
+++ b/crates/tallybridge-mesh/src/tasks/health.rs
@@ -1,19 +1,18 @@
-//! Where readiness is asked for and the back end reports itself.
+//! Health checks of the back end beside this node, by which a new instance is verified before it gets work.
 
-use std::{sync::Arc, time::Duration};
+use std::{
+    sync::{Arc, atomic::Ordering},
+    time::Duration,
+};
 
 use tokio::time::{Instant, timeout};
 
 use crate::{
-    http::{Answer, Connection, HttpLimits, Request, RequestHandler, client::connect},
-    log_limit::LogLimit,
+    http::{Connection, client::connect},
     node::Node,
-    seam::{ControlRequest, InstanceReport},
     tables::InstanceState,
 };
 
-/// Largest report, in bytes.
-const MAX_REPORT_BYTES: usize = 64 * 1024;
 /// Longest wait for a health check, which waits for a slot as a request does.
 const HEALTH_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Wait between health checks while the back end says that it takes no work.
@@ -21,61 +20,6 @@
 /// Wait between health checks while the back end does not answer at all.
 const RETRY_SILENT: Duration = Duration::from_millis(250);
 
-/// Answers questions about readiness and reports of the back end.
-#[derive(Clone)]
-pub struct ControlHandler(pub Arc<Node>);
-
-impl RequestHandler for ControlHandler {
-    async fn handle(&self, request: Request) -> Answer {
-        let node = &self.0;
-        match node.platform.control_request(&request.head, &request.body) {
-            ControlRequest::Readiness if node.is_ready() => Answer::new(200, "ready\n"),
-            ControlRequest::Readiness => Answer::new(503, "not ready\n"),
-            ControlRequest::Report(report) => match self.of_other_service(&report) {
-                Some(reason) => malformed(reason),
-                None => {
-                    node.report(&report);
-                    Answer::new(200, "{}").with_header("Content-Type", "application/json")
-                }
-            },
-            ControlRequest::Malformed(reason) => malformed(reason),
-            ControlRequest::Unknown => Answer::new(404, "unknown path\n"),
-        }
-    }
-
-    fn limits(&self) -> HttpLimits {
-        HttpLimits {
-            max_body_bytes: MAX_REPORT_BYTES,
-            idle_timeout: Duration::from_secs(60),
-            ..HttpLimits::default()
-        }
-    }
-
-    fn is_closing(&self) -> bool {
-        false
-    }
-}
-
-impl ControlHandler {
-    /// Why a report names no back end to use here: it is of another service.
-    fn of_other_service(&self, report: &InstanceReport) -> Option<String> {
-        let own = &self.0.settings.backend.service;
-        let other = report.service.as_ref().filter(|service| *service != own)?;
-        Some(format!(
-            "service {other:?} has no back end beside this node"
-        ))
-    }
-}
-
-/// Answers a report that names no back end to use. Others may send any number of them.
-fn malformed(reason: String) -> Answer {
-    static MALFORMED: LogLimit = LogLimit::new();
-    if let Some(left_out) = MALFORMED.line() {
-        tracing::warn!(reason, left_out, "malformed report, the last belief stays");
-    }
-    Answer::new(400, reason)
-}
-
 /// Asks the back end who it is, whenever that must be known before it gets work.
 pub async fn verify_instance(node: Arc<Node>) {
     loop {
@@ -107,7 +51,6 @@
 }
 
 async fn health_check(node: &Node, path: &str) -> Option<(String, bool)> {
-    use std::sync::atomic::Ordering;
     node.counters.health_checks.fetch_add(1, Ordering::Relaxed);
     let address = node.settings.backend.address;
     let started = Instant::now();
--- a/crates/tallybridge-mesh/src/peer/dial.rs
+++ b/crates/tallybridge-mesh/src/tasks/links.rs
@@ -14,16 +14,19 @@
     time::{Instant, sleep, timeout},
 };
 
-use super::{
-    frames::{LINK_SILENCE, invalid, next_frame, write_frames},
-    link::{Link, Reply},
-    message::{Frame, Message},
-};
 use crate::{
     clock::Moment,
     http::client::connect,
     node::{Confirmed, Node},
-    tables::{LinkOrder, NodeRecord},
+    protocol::NodeRecord,
+    tables::LinkOrder,
+};
+use crate::{
+    link::{
+        Link, Reply,
+        framing::{LINK_SILENCE, invalid, next_frame, write_frames},
+    },
+    protocol::{Frame, Message},
 };
 
 /// Time in which a connection must come up and the other node must say who it is.
@@ -34,8 +37,17 @@
 /// Reason for the end of a link that is not wanted.
 const NOT_NEEDED: &str = "not needed any more";
 
+/// Opens the links that the node's table of peers wants, and keeps each in a task of its own.
+pub async fn open_links(node: Arc<Node>) {
+    loop {
+        for order in node.next_link_orders().await {
+            tokio::spawn(keep_link(node.clone(), order));
+        }
+    }
+}
+
 /// Keeps a link to a node for as long as that node is one of those that are linked to.
-pub async fn keep_link(node: Arc<Node>, order: LinkOrder) {
+async fn keep_link(node: Arc<Node>, order: LinkOrder) {
     let address = order.address;
     let mut wait = REOPEN_MIN;
     loop {
--- a/crates/tallybridge-mesh/src/store/register.rs
+++ b/crates/tallybridge-mesh/src/tasks/registration.rs
@@ -9,10 +9,13 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::{
-    Backoff, count,
-    holds::{HOLDS_PREFIX, StoredHolds},
+    backoff::{Backoff, count},
+    stored_quarantine::{HOLDS_PREFIX, StoredHolds},
+};
+use crate::{
+    clock::Moment, log::rate_limit::LogLimit, node::Node, platform::StoreError,
+    protocol::NodeRecord,
 };
-use crate::{clock::Moment, log_limit::LogLimit, node::Node, seam::StoreError, tables::NodeRecord};
 
 /// Life of a node's registration without renewal: an outage of the store that is shorter ends none.
 const REGISTRATION: Duration = Duration::from_secs(20);
--- a/crates/tallybridge-mesh/src/store/holds.rs
+++ b/crates/tallybridge-mesh/src/tasks/stored_quarantine.rs
@@ -9,11 +9,11 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::{sleep, timeout};
 
-use super::{Backoff, count};
+use super::backoff::{Backoff, count};
 use crate::{
-    crashes::{HeldRequest, RequestDigest},
     node::Node,
-    seam::StoreError,
+    platform::StoreError,
+    protocol::{HeldRequest, RequestDigest},
 };
 
 /// Begins the names under which holds are registered: after those of nodes, which begin with a digit or
--- a/crates/tallybridge-mesh/tests/caller_connection.rs
+++ b/crates/tallybridge-mesh/tests/caller_connection.rs
@@ -9,8 +9,8 @@
 };
 
 use tallybridge_mesh::{
-    door::caller::serve,
     http::{Answer, Connection, HttpLimits, Request, RequestHandler},
+    listener::serve,
 };
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
--- a/crates/tallybridge-mesh/tests/crashes.rs
+++ b/crates/tallybridge-mesh/tests/crashes.rs
@@ -8,13 +8,12 @@
 use bytes::Bytes;
 use tallybridge_mesh::clock::Moment;
 use tallybridge_mesh::{
-    crashes::{
-        CallContent, CrashReport, ExposedCalls, ExposureEnd, HeldRequest, Quarantine,
-        RequestDigest, quarantine::CRASHES_TO_HOLD,
+    platform::HeaderNames,
+    protocol::{CallMessage, CrashReport, HeldRequest, RequestDigest},
+    tables::{
+        Incarnation,
+        quarantine::{CRASHES_TO_HOLD, CallContent, ExposedCalls, ExposureEnd, Quarantine},
     },
-    peer::message::CallMessage,
-    seam::HeaderNames,
-    tables::Incarnation,
 };
 
 const SECOND: Duration = Duration::from_secs(1);
--- a/crates/tallybridge-mesh/tests/decision_log.rs
+++ b/crates/tallybridge-mesh/tests/decision_log.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use tallybridge_core::ErrorKind;
-use tallybridge_mesh::decision_log::{DecisionLog, Place};
+use tallybridge_mesh::log::decisions::{DecisionLog, Place};
 use tokio::time::Instant;
 
 #[test]
--- a/crates/tallybridge-mesh/tests/decisions.rs
+++ b/crates/tallybridge-mesh/tests/decisions.rs
@@ -11,16 +11,17 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::SliceRandom};
 use tallybridge_mesh::{
     clock::Moment,
-    crashes::{CrashReport, HeldRequest, Quarantine, RequestDigest},
-    peer::{CallMessage, Frame, Link},
+    configuration::tenants::{RateLimit, Tenant, TenantRank},
+    link::Link,
+    protocol::{
+        BackendState, CallMessage, CrashReport, Frame, HeldRequest, Load, NodeRecord, PeerStatus,
+        QuotaAsk, QuotaGrant, RequestDigest,
+    },
     settings::RetrySettings,
     tables::{
-        BackendState, Choice, Executor, FirstSending, Load, NodeRecord, PeerStatus, PeerTable,
-        Repeat, RetryBudgets,
-    },
-    tenants::{
-        RateLimit, Tenant, TenantRank,
-        quota::{QuotaAsk, QuotaGrant, QuotaHome, QuotaSlack},
+        Choice, Executor, FirstSending, PeerTable, Repeat, RetryBudgets,
+        quarantine::Quarantine,
+        quotas::{QuotaHome, QuotaSlack},
     },
 };
 use tokio::{
--- a/crates/tallybridge-mesh/tests/homes.rs
+++ b/crates/tallybridge-mesh/tests/homes.rs
@@ -7,8 +7,9 @@
 };
 
 use tallybridge_mesh::{
-    peer::Link,
-    tables::{NodeRecord, PeerTable, TenantHome},
+    link::Link,
+    protocol::NodeRecord,
+    tables::{PeerTable, TenantHome},
 };
 use tokio::{sync::mpsc, time::Instant};
 
--- a/crates/tallybridge-mesh/tests/link.rs
+++ b/crates/tallybridge-mesh/tests/link.rs
@@ -4,7 +4,10 @@
 
 use bytes::{Bytes, BytesMut};
 use tallybridge_mesh::clock::Moment;
-use tallybridge_mesh::peer::{CallMessage, Frame, Link, LinkError, Message};
+use tallybridge_mesh::{
+    link::{Link, LinkError},
+    protocol::{CallMessage, Frame, Message},
+};
 use tokio::{
     sync::mpsc::{self, UnboundedReceiver},
     time::{Instant, advance},
--- a/crates/tallybridge-mesh/tests/quota.rs
+++ b/crates/tallybridge-mesh/tests/quota.rs
@@ -6,9 +6,10 @@
 use proptest::{prelude::*, test_runner::RngSeed};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use tallybridge_mesh::clock::Moment;
-use tallybridge_mesh::tenants::{
-    RateLimit, Tenant, TenantRank,
-    quota::{HeldAnswer, HeldTokens, QuotaAsk, QuotaGrant, QuotaHome, QuotaSlack, TokenBucket},
+use tallybridge_mesh::{
+    configuration::tenants::{RateLimit, Tenant, TenantRank},
+    protocol::{QuotaAsk, QuotaGrant},
+    tables::quotas::{HeldAnswer, HeldTokens, QuotaHome, QuotaSlack, TokenBucket},
 };
 
 /// The users' allowance: a tenth of the limit over five seconds, and twenty requests.
--- a/crates/tallybridge-mesh/tests/route_costs.rs
+++ b/crates/tallybridge-mesh/tests/route_costs.rs
@@ -5,7 +5,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use tallybridge_mesh::tables::{RootShedding, SlotTimes};
+use tallybridge_mesh::{protocol::SlotTimes, tables::RootShedding};
 
 use self::support::{
     route,
--- a/crates/tallybridge-mesh/tests/running.rs
+++ b/crates/tallybridge-mesh/tests/running.rs
@@ -3,7 +3,10 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use tallybridge_mesh::tables::{FoundParent, NestedEnd, Parent, RunningAttempts, SlotTimes};
+use tallybridge_mesh::{
+    protocol::SlotTimes,
+    tables::{FoundParent, NestedEnd, Parent, RunningAttempts},
+};
 
 fn parent_of(is_urgent: bool) -> Parent {
     Parent {
--- a/crates/tallybridge-mesh/tests/shedding.rs
+++ b/crates/tallybridge-mesh/tests/shedding.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use tallybridge_mesh::{PolicySettings, tables::RootShedding, tenants::TenantRank};
+use tallybridge_mesh::{PolicySettings, configuration::tenants::TenantRank, tables::RootShedding};
 
 use self::support::{
     overload::{ChainFleet, Demand},
--- a/crates/tallybridge-mesh/tests/slot_share.rs
+++ b/crates/tallybridge-mesh/tests/slot_share.rs
@@ -9,7 +9,7 @@
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use rand_distr::{Distribution, LogNormal};
-use tallybridge_mesh::slot_share::SlotShare;
+use tallybridge_mesh::tables::backend::slot_share::SlotShare;
 
 const SLOTS: u32 = 38;
 /// Mean times of the two kinds of calls, in milliseconds, and the share of the second.
--- a/crates/tallybridge-mesh/tests/subset.rs
+++ b/crates/tallybridge-mesh/tests/subset.rs
@@ -3,8 +3,9 @@
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
 use tallybridge_mesh::{
-    peer::Link,
-    tables::{LinkOrder, NodeRecord, PeerTable},
+    link::Link,
+    protocol::NodeRecord,
+    tables::{LinkOrder, PeerTable},
 };
 use tokio::{sync::mpsc, time::Instant};
 
--- a/crates/tallybridge-mesh/tests/support/chain/mod.rs
+++ b/crates/tallybridge-mesh/tests/support/chain/mod.rs
@@ -14,8 +14,9 @@
 use tallybridge_core::Criticality;
 use tallybridge_mesh::{
     Route,
-    tables::{Parent, ServiceViews, SlotTimes},
-    tenants::TenantRank,
+    configuration::tenants::TenantRank,
+    protocol::SlotTimes,
+    tables::{Parent, ServiceViews},
 };
 use tokio::{
     task::JoinSet,
--- a/crates/tallybridge-mesh/tests/support/chain/node.rs
+++ b/crates/tallybridge-mesh/tests/support/chain/node.rs
@@ -13,11 +13,11 @@
 use tallybridge_core::Criticality;
 use tallybridge_mesh::{
     Route,
+    protocol::{BackendState, PeerStatus, SlotTimes},
     tables::{
-        BackendState, NestedEnd, Parent, PeerStatus, RootShedding, RunningAttempts, ServiceViews,
-        SlotTimes,
+        NestedEnd, Parent, RootShedding, RunningAttempts, ServiceViews,
+        backend::slots::{NoSlot, Slot, Work},
     },
-    work::{NoSlot, Slot, Work},
 };
 use tokio::time::Instant;
 
--- a/crates/tallybridge-mesh/tests/support/overload.rs
+++ b/crates/tallybridge-mesh/tests/support/overload.rs
@@ -9,8 +9,9 @@
 
 use tallybridge_mesh::{
     Route,
-    tables::{BackendState, Load, PeerStatus, RootShedding, ServiceViews, SlotTimes},
-    tenants::TenantRank,
+    configuration::tenants::TenantRank,
+    protocol::{BackendState, Load, PeerStatus, SlotTimes},
+    tables::{RootShedding, ServiceViews},
 };
 
 use super::route;
--- a/crates/tallybridge-mesh/tests/support/shedding.rs
+++ b/crates/tallybridge-mesh/tests/support/shedding.rs
@@ -4,8 +4,9 @@
 
 use tallybridge_mesh::{
     Route,
-    tables::{BackendState, Load, PeerStatus, RootShedding, ServiceViews, SlotTimes},
-    tenants::TenantRank,
+    configuration::tenants::TenantRank,
+    protocol::{BackendState, Load, PeerStatus, SlotTimes},
+    tables::{RootShedding, ServiceViews},
 };
 
 /// What one service is told to look like.
--- a/crates/tallybridge-mesh/tests/tables.rs
+++ b/crates/tallybridge-mesh/tests/tables.rs
@@ -7,11 +7,9 @@
 use tallybridge_mesh::{
     Configuration,
     http::HttpLimits,
-    peer::Link,
-    tables::{
-        BackendState, Choice, Executor, FailingChange, FailingShare, Load, NodeRecord, PeerStatus,
-        PeerTable,
-    },
+    link::Link,
+    protocol::{BackendState, Load, NodeRecord, PeerStatus},
+    tables::{Choice, Executor, FailingChange, FailingShare, PeerTable},
 };
 use tokio::{sync::mpsc, time::Instant};
 
--- a/crates/tallybridge-mesh/tests/tenants.rs
+++ b/crates/tallybridge-mesh/tests/tenants.rs
@@ -1,6 +1,8 @@
 //! The directory of tenants: whose key each is, and which tenant goes before which.
 
-use tallybridge_mesh::tenants::{KeyDigest, Tenant, TenantDirectory, TenantError, TenantRank};
+use tallybridge_mesh::configuration::tenants::{
+    KeyDigest, Tenant, TenantDirectory, TenantError, TenantRank,
+};
 
 fn tenant(name: &str, priority: u8) -> Tenant {
     Tenant {
--- a/crates/tallybridge-mesh/tests/wire_format.rs
+++ b/crates/tallybridge-mesh/tests/wire_format.rs
@@ -4,11 +4,9 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use tallybridge_mesh::{
-    crashes::{CrashReport, HeldRequest, RequestDigest},
-    peer::{CallMessage, Frame, Message},
-    tables::{BackendState, Load, PeerStatus, ServiceTime, SlotTimes},
-    tenants::quota::{LifeSpending, QuotaAsk, QuotaGrant},
+use tallybridge_mesh::protocol::{
+    BackendState, CallMessage, CrashReport, Frame, HeldRequest, LifeSpending, Load, Message,
+    PeerStatus, QuotaAsk, QuotaGrant, RequestDigest, ServiceTime, SlotTimes,
 };
 
 const LOAD: Load = Load {
--- a/crates/tallybridge-mesh/tests/work.rs
+++ b/crates/tallybridge-mesh/tests/work.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use tallybridge_core::Criticality;
-use tallybridge_mesh::work::{NoSlot, Slot, Work};
+use tallybridge_mesh::tables::backend::slots::{NoSlot, Slot, Work};
 use tokio::time::{Instant, sleep};
 
 const LONG: Duration = Duration::from_secs(60);
