--- a/crates/tallybridge-mesh/tests/quota.rs
+++ b/crates/tallybridge-mesh/tests/quota.rs
@@ -5,11 +5,11 @@
 
 use proptest::{prelude::*, test_runner::RngSeed};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
-use tallybridge_mesh::clock::Moment;
+use tallybridge_mesh::clock::BootInstant;
 use tallybridge_mesh::{
     configuration::tenants::{RateLimit, Tenant, TenantRank},
     protocol::{QuotaAsk, QuotaGrant},
-    tables::quotas::{HeldAnswer, HeldTokens, QuotaHome, QuotaSlack, TokenBucket},
+    tables::quotas::{EntryTokens, OwnedQuotas, QuotaSlack, TokenAnswer, TokenBucket},
 };
 
 /// The users' allowance: a tenth of the limit over five seconds, and twenty requests.
@@ -36,14 +36,14 @@
 
 /// An entry and what it has asked of the home so far.
 struct Entry {
-    held: HeldTokens,
+    held: EntryTokens,
     process: u64,
 }
 
 impl Default for Entry {
     fn default() -> Self {
         Self {
-            held: HeldTokens::new(SLACK.window),
+            held: EntryTokens::new(SLACK.window),
             process: rand::random(),
         }
     }
@@ -54,13 +54,13 @@
     fn decide(
         &mut self,
         tenant: &Tenant,
-        now: Moment,
-        ask_home: impl FnOnce(QuotaAsk) -> QuotaGrant,
+        now: BootInstant,
+        ask_owner: impl FnOnce(QuotaAsk) -> QuotaGrant,
     ) -> Decision {
         let (ahead, spent, fleet) = match self.held.request(&tenant.name, now) {
-            HeldAnswer::Admitted => return Decision::Admitted,
-            HeldAnswer::Spent(_) => return Decision::Refused,
-            HeldAnswer::Ask {
+            TokenAnswer::Admitted => return Decision::Admitted,
+            TokenAnswer::Spent(_) => return Decision::Refused,
+            TokenAnswer::Ask {
                 ahead,
                 spent,
                 fleet,
@@ -72,7 +72,7 @@
             spent,
             fleet,
         };
-        match ask_home(ask) {
+        match ask_owner(ask) {
             QuotaGrant::Tokens { tokens, fleet } => {
                 self.held.granted(&tenant.name, tokens, &fleet, now);
                 Decision::Admitted
@@ -81,7 +81,7 @@
                 self.held.spent(&tenant.name, wait, &fleet, now);
                 Decision::Refused
             }
-            QuotaGrant::NotHome => Decision::AskAgain,
+            QuotaGrant::NotOwner => Decision::AskAgain,
         }
     }
 }
@@ -95,24 +95,24 @@
 
 /// Requests that were let in, and how many were refused.
 struct Played {
-    admitted: Vec<Moment>,
+    admitted: Vec<BootInstant>,
     refused: usize,
 }
 
-/// Plays requests of a tenant that come at entries after given gaps. `ask_home` asks whoever is the home when
+/// Plays requests of a tenant that come at entries after given gaps. `ask_owner` asks whoever is the home when
 /// the request of a number comes. From the request `lost_at` on, entries have lost what they knew.
 fn play(
     tenant: &Tenant,
     entries: usize,
     gaps: impl Iterator<Item = Duration>,
     lost_at: Option<usize>,
-    ask_home: impl FnMut(usize, Moment, QuotaAsk) -> QuotaGrant,
+    ask_owner: impl FnMut(usize, BootInstant, QuotaAsk) -> QuotaGrant,
 ) -> Played {
     let lost = |number| match lost_at == Some(number) {
         true => 0..entries,
         false => 0..0,
     };
-    play_with_losses(tenant, entries, gaps, lost, ask_home)
+    play_with_losses(tenant, entries, gaps, lost, ask_owner)
 }
 
 /// The same, where before the request of a number comes a range of entries lose what they knew.
@@ -121,10 +121,10 @@
     entries: usize,
     gaps: impl Iterator<Item = Duration>,
     mut lost: impl FnMut(usize) -> Range<usize>,
-    mut ask_home: impl FnMut(usize, Moment, QuotaAsk) -> QuotaGrant,
+    mut ask_owner: impl FnMut(usize, BootInstant, QuotaAsk) -> QuotaGrant,
 ) -> Played {
     let mut nodes: Vec<Entry> = (0..entries).map(|_| Entry::default()).collect();
-    let mut now = Moment::now();
+    let mut now = BootInstant::now();
     let mut played = Played {
         admitted: Vec::new(),
         refused: 0,
@@ -141,7 +141,7 @@
                 nodes[entry] = Entry::default();
             }
         }
-        let ask = |ask| ask_home(number, now, ask);
+        let ask = |ask| ask_owner(number, now, ask);
         match nodes[number % entries].decide(tenant, now, ask) {
             Decision::Admitted => played.admitted.push(now),
             Decision::Refused => played.refused += 1,
@@ -152,7 +152,7 @@
 }
 
 /// Most requests that any window of the users' rule holds.
-fn busiest_window(admitted: &[Moment]) -> usize {
+fn busiest_window(admitted: &[BootInstant]) -> usize {
     let counts = admitted.iter().enumerate().map(|(first, at)| {
         let later = admitted[first..].iter();
         later
@@ -170,12 +170,12 @@
 /// nothing. The entries live on.
 fn busiest_with_new_homes(rate: f64, entries: usize, gaps_us: &[u64], life: Duration) -> usize {
     let tenant = tenant(rate);
-    let mut home = QuotaHome::new(SLACK);
+    let mut home = OwnedQuotas::new(SLACK);
     let mut since = None;
     let gaps = microseconds(gaps_us);
     let played = play(&tenant, entries, gaps, None, |_, now, ask| {
         if now.saturating_duration_since(*since.get_or_insert(now)) >= life {
-            home = QuotaHome::new(SLACK);
+            home = OwnedQuotas::new(SLACK);
             since = Some(now);
         }
         home.grant(&tenant, ask, *since.get_or_insert(now), now)
@@ -192,7 +192,7 @@
     requests_between: usize,
 ) -> usize {
     let tenant = tenant(rate);
-    let mut home = QuotaHome::new(SLACK);
+    let mut home = OwnedQuotas::new(SLACK);
     let mut since = None;
     let mut changed_at = 0;
     let third = |number: usize| {
@@ -206,7 +206,7 @@
     let played = play_with_losses(&tenant, entries, gaps, third, |number, now, ask| {
         if number / requests_between > changed_at {
             changed_at = number / requests_between;
-            home = QuotaHome::new(SLACK);
+            home = OwnedQuotas::new(SLACK);
             since = Some(now);
         }
         home.grant(&tenant, ask, *since.get_or_insert(now), now)
@@ -238,7 +238,7 @@
         third_restart in 0.0..1.0_f64,
     ) {
         let tenant = tenant(rate);
-        let mut home = QuotaHome::new(SLACK);
+        let mut home = OwnedQuotas::new(SLACK);
         let mut since = None;
         let mut restarts = [first_restart, second_restart, third_restart]
             .map(|part| (part * gaps_us.len() as f64) as usize)
@@ -248,7 +248,7 @@
             let before = restarts.len();
             restarts.retain(|restart| number < *restart);
             if restarts.len() < before {
-                home = QuotaHome::new(SLACK);
+                home = OwnedQuotas::new(SLACK);
                 since = Some(now);
             }
             home.grant(&tenant, ask, *since.get_or_insert(now), now)
@@ -269,7 +269,7 @@
         turn_ms in 200_u64..900,
     ) {
         let tenant = tenant(rate);
-        let mut homes = [0; 3].map(|_| QuotaHome::new(SLACK));
+        let mut homes = [0; 3].map(|_| OwnedQuotas::new(SLACK));
         let mut began = None;
         let gaps = microseconds(&gaps_us);
         let played = play(&tenant, entries, gaps, None, |_, now, ask| {
@@ -334,7 +334,7 @@
         all_are_lost in any::<bool>(),
     ) {
         let tenant = tenant(rate);
-        let mut home = QuotaHome::new(SLACK);
+        let mut home = OwnedQuotas::new(SLACK);
         let mut since = None;
         let mut is_lost = false;
         let gaps = (0..1_500).map(|_| Duration::from_secs_f64(1.25 / rate));
@@ -342,7 +342,7 @@
         let played = play(&tenant, entries, gaps, lost_entries_at, |number, now, ask| {
             if number >= lost_at && !is_lost {
                 is_lost = true;
-                home = QuotaHome::new(SLACK);
+                home = OwnedQuotas::new(SLACK);
                 since = Some(now);
             }
             home.grant(&tenant, ask, *since.get_or_insert(now), now)
@@ -393,7 +393,7 @@
 
 #[test]
 fn a_lower_limit_takes_away_what_is_beyond_its_burst() {
-    let began = Moment::now();
+    let began = BootInstant::now();
     let of = |rate| RateLimit {
         per_second: rate,
         burst: rate,
@@ -406,7 +406,7 @@
 
 #[test]
 fn those_who_are_refused_are_promised_tokens_one_after_the_other() {
-    let began = Moment::now();
+    let began = BootInstant::now();
     let limit = RateLimit {
         per_second: 10.0,
         burst: 1.0,
@@ -427,7 +427,7 @@
 
 #[test]
 fn a_token_that_is_all_but_there_is_not_promised_for_at_once() {
-    let began = Moment::now();
+    let began = BootInstant::now();
     let limit = RateLimit {
         per_second: 100.0,
         burst: 1.0,
--- a/crates/tallybridge-mesh/tests/retries.rs
+++ b/crates/tallybridge-mesh/tests/retries.rs
@@ -5,10 +5,10 @@
 
 use proptest::{prelude::*, test_runner::RngSeed};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
-use tallybridge_mesh::clock::Moment;
+use tallybridge_mesh::clock::BootInstant;
 use tallybridge_mesh::{
     settings::RetrySettings,
-    tables::{FirstSending, Repeat, RetryBudgets},
+    tables::{FirstAttempt, RetryBudgets, RetryRequest},
 };
 
 const SETTINGS: RetrySettings = RetrySettings {
@@ -19,18 +19,23 @@
 const WINDOW: Duration = Duration::from_millis(SETTINGS.window_ms);
 /// Arrivals of a window that are allowed besides, as whole repeats at each node.
 const SLACK: f64 = 8.0;
-const SENDING: FirstSending = FirstSending {
-    is_below_repeat: false,
+const SENDING: FirstAttempt = FirstAttempt {
+    is_below_retry: false,
 };
 
-fn repeat(calls_others: bool, is_urgent: bool) -> Repeat {
-    Repeat {
+fn repeat(calls_others: bool, is_urgent: bool) -> RetryRequest {
+    RetryRequest {
         calls_others,
         is_urgent,
     }
 }
 
-fn paid(budgets: &mut RetryBudgets, service: &Arc<str>, repeat: Repeat, now: Moment) -> usize {
+fn paid(
+    budgets: &mut RetryBudgets,
+    service: &Arc<str>,
+    repeat: RetryRequest,
+    now: BootInstant,
+) -> usize {
     let tries = 0..5000;
     tries.filter(|_| budgets.pay(service, repeat, now)).count()
 }
@@ -38,7 +43,7 @@
 #[test]
 fn repeats_are_a_bounded_share_and_all_of_them_together() {
     let service: Arc<str> = "ledger".into();
-    let now = Moment::now();
+    let now = BootInstant::now();
     let earned = || {
         let mut budgets = RetryBudgets::new(SETTINGS);
         assert!(!budgets.pay(&service, repeat(false, true), now));
@@ -63,11 +68,11 @@
 #[test]
 fn calls_of_a_run_that_is_a_repeat_are_charged() {
     let service: Arc<str> = "ledger".into();
-    let now = Moment::now();
+    let now = BootInstant::now();
     let mut budgets = RetryBudgets::new(SETTINGS);
     for number in 0..1000 {
-        let sending = FirstSending {
-            is_below_repeat: number % 10 == 0,
+        let sending = FirstAttempt {
+            is_below_retry: number % 10 == 0,
         };
         budgets.sent(&service, sending, now);
     }
@@ -80,7 +85,7 @@
 fn paid_parts(failing_urgent: f64, failing_lesser: f64) -> [f64; 2] {
     let service: Arc<str> = "ledger".into();
     let mut budgets = RetryBudgets::new(SETTINGS);
-    let began = Moment::now();
+    let began = BootInstant::now();
     let mut random = SmallRng::seed_from_u64(7);
     let (mut asked, mut paid) = ([0_u32; 2], [0_u32; 2]);
     // All is well for a window, then not for as long.
@@ -132,7 +137,7 @@
     /// Part of the arrivals at each level that end badly.
     failing: Vec<f64>,
     random: SmallRng,
-    began: Moment,
+    began: BootInstant,
 }
 
 impl Chain {
@@ -148,12 +153,12 @@
             fan_out: fan_out.to_vec(),
             failing: failing.to_vec(),
             random: SmallRng::seed_from_u64(seed),
-            began: Moment::now(),
+            began: BootInstant::now(),
         }
     }
 
     /// A call to the service of a level; whether it ends well.
-    fn call(&mut self, level: usize, is_below_repeat: bool, at: Duration) -> bool {
+    fn call(&mut self, level: usize, is_below_retry: bool, at: Duration) -> bool {
         let now = self.began + at;
         let node = self
             .random
@@ -161,13 +166,13 @@
         let is_last = level + 1 == self.levels.len();
         let of_level = &mut self.levels[level];
         let service = of_level.service.clone();
-        let sending = FirstSending { is_below_repeat };
+        let sending = FirstAttempt { is_below_retry };
         of_level.budgets[node].sent(&service, sending, now);
         of_level.requests.push(at);
-        if is_below_repeat {
+        if is_below_retry {
             of_level.repeats.push(at);
         }
-        if self.run(level, is_below_repeat, at) {
+        if self.run(level, is_below_retry, at) {
             return true;
         }
         let again = repeat(!is_last, false);
@@ -180,13 +185,13 @@
     }
 
     /// A run at a back end: its own calls, one after the other, then its own luck.
-    fn run(&mut self, level: usize, is_repeat: bool, at: Duration) -> bool {
+    fn run(&mut self, level: usize, is_retry: bool, at: Duration) -> bool {
         if self.random.random_bool(self.failing[level]) {
             return false;
         }
         let is_last = level + 1 == self.levels.len();
         let calls = if is_last { 0 } else { self.fan_out[level] };
-        (0..calls).all(|_| self.call(level + 1, is_repeat, at))
+        (0..calls).all(|_| self.call(level + 1, is_retry, at))
     }
 
     /// The most by which any window exceeds what is allowed, at any level.
--- a/crates/tallybridge-mesh/tests/route_costs.rs
+++ b/crates/tallybridge-mesh/tests/route_costs.rs
@@ -5,7 +5,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use tallybridge_mesh::{protocol::SlotTimes, tables::RootShedding};
+use tallybridge_mesh::{protocol::SlotTimes, tables::AdmissionControl};
 
 use self::support::{
     route,
@@ -15,7 +15,7 @@
 #[test]
 fn a_route_of_which_nothing_is_known_is_let_in_a_little_until_it_is() {
     let download = route("download", "h", "/d/", 2, &[("top", 1)]);
-    let mut shedding = RootShedding::default();
+    let mut shedding = AdmissionControl::default();
     let full = views(&[
         seen("top", (100, 10, 10), &["deep"]),
         seen("deep", (10, 50, 300), &[]),
@@ -35,7 +35,7 @@
 fn a_route_that_fails_for_a_service_is_shed_for_it_though_it_once_did_without() {
     let lookup = route("lookup", "h", "/", 2, &[("top", 1)]);
     for first in [true, false] {
-        let mut shedding = RootShedding::default();
+        let mut shedding = AdmissionControl::default();
         admitted(&mut shedding, &lookup);
         if first {
             learn(&mut shedding, &lookup, &[("top", 50)]);
@@ -56,7 +56,7 @@
 fn failures_never_lower_what_a_route_costs() {
     let balance = route("balance", "h", "/b/", 2, &[("top", 1)]);
     let lookup = route("lookup", "h", "/", 2, &[("top", 1)]);
-    let mut shedding = RootShedding::default();
+    let mut shedding = AdmissionControl::default();
     learn(&mut shedding, &balance, &[("top", 50), ("deep", 480)]);
     learn(&mut shedding, &lookup, &[("top", 50), ("deep", 120)]);
     fail(&mut shedding, &balance, 200, &[("top", 50), ("deep", 1)]);
@@ -71,7 +71,7 @@
 #[test]
 fn a_route_of_which_nothing_is_answered_is_not_let_in_to_learn_for_ever() {
     let lookup = route("lookup", "h", "/", 2, &[("top", 1)]);
-    let mut shedding = RootShedding::default();
+    let mut shedding = AdmissionControl::default();
     admitted(&mut shedding, &lookup);
     for _ in 0..8 {
         shedding.unanswered(&lookup, rank());
@@ -89,7 +89,7 @@
 #[test]
 fn what_a_route_needed_before_it_changed_is_forgotten_with_an_answer_now_and_then() {
     let lookup = route("lookup", "h", "/", 2, &[("top", 1)]);
-    let mut shedding = RootShedding::default();
+    let mut shedding = AdmissionControl::default();
     learn(&mut shedding, &lookup, &[("top", 50), ("deep", 100)]);
     let mut times = SlotTimes::default();
     times.add(&Arc::from("top"), Duration::from_millis(50));
--- a/crates/tallybridge-mesh/tests/running.rs
+++ b/crates/tallybridge-mesh/tests/running.rs
@@ -11,7 +11,7 @@
 fn parent_of(is_urgent: bool) -> Parent {
     Parent {
         is_urgent,
-        is_repeat: false,
+        is_retry: false,
     }
 }
 
@@ -45,10 +45,10 @@
     assert!(!running.may_fail_for_another(&root), "it made none");
     running.nested_begins(&root);
     assert!(running.may_fail_for_another(&root), "one is open");
-    running.nested_ended(&root, &NestedEnd::Well(SlotTimes::default()));
+    running.nested_ended(&root, &NestedEnd::Succeeded(SlotTimes::default()));
     assert!(!running.may_fail_for_another(&root), "it ended well");
     running.nested_begins(&root);
-    running.nested_ended(&root, &NestedEnd::Badly(SlotTimes::default()));
+    running.nested_ended(&root, &NestedEnd::Failed(SlotTimes::default()));
     assert!(running.may_fail_for_another(&root), "it failed");
     running.end(&root);
     assert!(!running.may_fail_for_another(&root), "nothing is kept");
@@ -64,10 +64,10 @@
     times.add(&"middle".into(), Duration::from_millis(50));
     for _ in 0..2 {
         running.nested_begins(&root);
-        running.nested_ended(&root, &NestedEnd::Well(times.clone()));
+        running.nested_ended(&root, &NestedEnd::Succeeded(times.clone()));
     }
     running.nested_begins(&root);
-    running.nested_ended(&root, &NestedEnd::Badly(SlotTimes::default()));
+    running.nested_ended(&root, &NestedEnd::Failed(SlotTimes::default()));
     let below = running.times_below(&root);
     assert_eq!(below.of("deep"), Duration::from_millis(40));
     assert_eq!(below.of("middle"), Duration::from_millis(100));
@@ -79,13 +79,13 @@
     let mut running = RunningAttempts::default();
     let attempt = Bytes::from_static(b"a");
     let repeat = Parent {
-        is_repeat: true,
+        is_retry: true,
         ..parent_of(false)
     };
     running.begin(&attempt, parent_of(false));
     running.begin(&attempt, repeat);
     let found = running.parent_of(b"a.b").expect("it runs");
-    assert!(found.parent.is_repeat);
+    assert!(found.parent.is_retry);
 }
 
 #[test]
@@ -96,7 +96,7 @@
     let mut least = SlotTimes::default();
     least.add(&"deep".into(), Duration::from_millis(30));
     running.nested_begins(&root);
-    running.nested_ended(&root, &NestedEnd::Badly(least));
+    running.nested_ended(&root, &NestedEnd::Failed(least));
     assert!(running.may_fail_for_another(&root));
     let below = running.times_below(&root);
     assert_eq!(below.of("deep"), Duration::from_millis(30));
--- a/crates/tallybridge-mesh/tests/shedding.rs
+++ b/crates/tallybridge-mesh/tests/shedding.rs
@@ -2,7 +2,9 @@
 
 mod support;
 
-use tallybridge_mesh::{PolicySettings, configuration::tenants::TenantRank, tables::RootShedding};
+use tallybridge_mesh::{
+    PolicySettings, configuration::tenants::TenantRank, tables::AdmissionControl,
+};
 
 use self::support::{
     overload::{ChainFleet, Demand},
@@ -12,7 +14,7 @@
 
 #[test]
 fn a_tenant_that_goes_before_another_is_shed_after_it_whatever_the_routes() {
-    let mut shedding = RootShedding::default();
+    let mut shedding = AdmissionControl::default();
     let payments = route("payments", "h", "/p/", 0, &[("ledger", 1)]);
     let reads = route("reads", "h", "/r/", 2, &[("ledger", 1)]);
     let first = TenantRank {
@@ -42,7 +44,7 @@
 #[test]
 fn fresh_requests_are_shed_for_a_service_far_below_and_let_in_again() {
     let lookup = route("lookup", "h", "/", 2, &[("top", 1)]);
-    let mut shedding = RootShedding::default();
+    let mut shedding = AdmissionControl::default();
     assert_eq!(admitted(&mut shedding, &lookup), 1000);
     learn(&mut shedding, &lookup, &[("top", 50), ("deep", 20)]);
     let full = views(&[
@@ -71,7 +73,7 @@
 fn a_route_that_calls_nobody_is_not_shed_for_what_is_full_below_its_service() {
     let download = route("download", "h", "/d/", 2, &[("top", 1)]);
     let lookup = route("lookup", "h", "/", 2, &[("top", 1)]);
-    let mut shedding = RootShedding::default();
+    let mut shedding = AdmissionControl::default();
     learn(&mut shedding, &download, &[("top", 50)]);
     learn(&mut shedding, &lookup, &[("top", 50), ("deep", 20)]);
     let full = views(&[
@@ -106,7 +108,7 @@
 fn of_one_priority_the_route_that_costs_the_full_service_more_is_shed_more() {
     let balance = route("balance", "h", "/b/", 2, &[("deep", 1)]);
     let lookup = route("lookup", "h", "/", 2, &[("top", 1)]);
-    let mut shedding = RootShedding::default();
+    let mut shedding = AdmissionControl::default();
     learn(&mut shedding, &balance, &[("deep", 480)]);
     learn(&mut shedding, &lookup, &[("top", 90), ("deep", 120)]);
     let full = views(&[
@@ -125,7 +127,7 @@
 #[test]
 fn hardly_anything_is_let_in_while_a_needed_service_has_no_back_end() {
     let lookup = route("lookup", "h", "/", 2, &[("top", 1)]);
-    let mut shedding = RootShedding::default();
+    let mut shedding = AdmissionControl::default();
     learn(&mut shedding, &lookup, &[("top", 50), ("deep", 20)]);
     shedding.adapt(&views(&[
         seen("top", (100, 10, 10), &["deep"]),
@@ -137,7 +139,7 @@
 #[test]
 fn a_node_that_has_just_started_lets_all_in_once_it_knows_a_back_end() {
     let lookup = route("lookup", "h", "/", 2, &[("top", 1)]);
-    let mut shedding = RootShedding::default();
+    let mut shedding = AdmissionControl::default();
     let unknown = views(&[seen("top", (0, 0, 0), &[])]);
     let idle = views(&[seen("top", (100, 10, 10), &[])]);
     admitted(&mut shedding, &lookup);
@@ -157,7 +159,7 @@
 #[test]
 fn with_its_switch_off_nothing_is_shed() {
     let lookup = route("lookup", "h", "/", 2, &[("top", 1)]);
-    let mut shedding = RootShedding::new(PolicySettings {
+    let mut shedding = AdmissionControl::new(PolicySettings {
         shed_at_entry: false,
         ..PolicySettings::default()
     });
@@ -174,7 +176,7 @@
 #[test]
 fn with_costs_switched_off_a_download_is_shed_for_what_is_full_below() {
     let download = route("download", "h", "/d/", 2, &[("top", 1)]);
-    let mut shedding = RootShedding::new(PolicySettings {
+    let mut shedding = AdmissionControl::new(PolicySettings {
         shed_by_cost: false,
         ..PolicySettings::default()
     });
--- a/crates/tallybridge-mesh/tests/subset.rs
+++ b/crates/tallybridge-mesh/tests/subset.rs
@@ -5,7 +5,7 @@
 use tallybridge_mesh::{
     link::Link,
     protocol::NodeRecord,
-    tables::{LinkOrder, PeerTable},
+    tables::{LinkRequest, PeerTable},
 };
 use tokio::{sync::mpsc, time::Instant};
 
@@ -32,7 +32,7 @@
 }
 
 /// Opens the links that are ordered, and gives the addresses.
-fn open(table: &mut PeerTable, orders: &[LinkOrder], services: u16, now: Instant) -> Vec<u16> {
+fn open(table: &mut PeerTable, orders: &[LinkRequest], services: u16, now: Instant) -> Vec<u16> {
     let mut opened: Vec<u16> = orders.iter().map(|order| order.address.port()).collect();
     opened.sort_unstable();
     for number in &opened {
@@ -237,9 +237,9 @@
     let mut table = PeerTable::new(record(0, 1));
     learn(&mut table, 1..41, 1, start);
     let _ = table.settle(start);
-    table.forget_spares(start + Duration::from_secs(299));
+    table.forget_unlinked(start + Duration::from_secs(299));
     assert_eq!(table.known_size(), 41);
-    table.forget_spares(start + Duration::from_secs(300));
+    table.forget_unlinked(start + Duration::from_secs(300));
     assert_eq!(table.known_size(), MOST + 1);
 }
 
--- a/crates/tallybridge-mesh/tests/support/chain/mod.rs
+++ b/crates/tallybridge-mesh/tests/support/chain/mod.rs
@@ -16,7 +16,7 @@
     Route,
     configuration::tenants::TenantRank,
     protocol::SlotTimes,
-    tables::{Parent, ServiceViews},
+    tables::{Parent, ServiceLoads},
 };
 use tokio::{
     task::JoinSet,
@@ -168,7 +168,7 @@
     }
 
     fn look(&self) {
-        let mut views = ServiceViews::default();
+        let mut views = ServiceLoads::default();
         for node in self.nodes.iter() {
             let name = &self.plan.services[node.service].name;
             views.add(name, &node.status(&self.plan), node.takes_work());
@@ -230,7 +230,7 @@
             wait_until: now + WAIT,
             deadline: now + demand.call.patience,
         };
-        match self.carry(&call).await {
+        match self.forward(&call).await {
             Ended::Answered { well, times } => {
                 entry.answered(&self.route, well, &times);
                 self.tally.ended(self.demand, well);
@@ -243,7 +243,7 @@
     }
 
     /// Sends a call to the back end with the most room, and once more elsewhere if that is full.
-    async fn carry(&self, call: &Call<'_>) -> Ended {
+    async fn forward(&self, call: &Call<'_>) -> Ended {
         let mut tried = Vec::new();
         while let Some(target) = self.choose(call.plan.service, &tried) {
             tried.push(target);
@@ -275,7 +275,7 @@
         };
         let parent = Parent {
             is_urgent: call.criticality == Criticality::CriticalPlus,
-            is_repeat: false,
+            is_retry: false,
         };
         let running = node.begin(&call.name, parent);
         sleep(node.time_of(call.plan.work)).await;
@@ -308,7 +308,7 @@
             deadline: now + allowed,
         };
         node.nested_begins(&call.name, plan.service);
-        let ended = self.carry(&nested).await;
+        let ended = self.forward(&nested).await;
         let well = matches!(ended, Ended::Answered { well: true, .. });
         let of_service = self
             .nodes
--- a/crates/tallybridge-mesh/tests/support/chain/node.rs
+++ b/crates/tallybridge-mesh/tests/support/chain/node.rs
@@ -15,8 +15,8 @@
     Route,
     protocol::{BackendState, PeerStatus, SlotTimes},
     tables::{
-        NestedEnd, Parent, RootShedding, RunningAttempts, ServiceViews,
-        backend::slots::{NoSlot, Slot, Work},
+        AdmissionControl, NestedEnd, Parent, RunningAttempts, ServiceLoads,
+        backend::slots::{BackendSlots, NoSlot, Slot},
     },
 };
 use tokio::time::Instant;
@@ -25,7 +25,7 @@
 
 #[derive(Debug)]
 struct NodeState {
-    shedding: RootShedding,
+    shedding: AdmissionControl,
     running: RunningAttempts,
     called: HashSet<usize>,
     is_there: bool,
@@ -40,7 +40,7 @@
 pub struct ChainNode {
     pub service: usize,
     slots: u32,
-    work: Work,
+    work: BackendSlots,
     cold: Duration,
     state: Mutex<NodeState>,
 }
@@ -55,7 +55,7 @@
         });
         of_service
             .map(|(index, service, place, speed)| {
-                let work = Work::default();
+                let work = BackendSlots::default();
                 work.set_slots(service.slots);
                 Arc::new(Self {
                     service: index,
@@ -63,7 +63,7 @@
                     work,
                     cold: plan.cold,
                     state: Mutex::new(NodeState {
-                        shedding: RootShedding::default(),
+                        shedding: AdmissionControl::default(),
                         running: RunningAttempts::default(),
                         called: HashSet::new(),
                         is_there: place < service.left,
@@ -78,7 +78,7 @@
 
     /// The node that starts in the place of this one, beside the same back end.
     pub fn begin_anew(&self) -> Self {
-        let work = Work::default();
+        let work = BackendSlots::default();
         work.set_slots(self.slots);
         let state = self.state();
         Self {
@@ -87,7 +87,7 @@
             work,
             cold: self.cold,
             state: Mutex::new(NodeState {
-                shedding: RootShedding::default(),
+                shedding: AdmissionControl::default(),
                 running: RunningAttempts::default(),
                 called: HashSet::new(),
                 ..*state
@@ -157,7 +157,7 @@
         }
     }
 
-    pub fn look(&self, views: &ServiceViews) {
+    pub fn look(&self, views: &ServiceLoads) {
         self.work.tick();
         self.state().shedding.adapt(views);
     }
@@ -191,12 +191,12 @@
     pub fn nested_ended(&self, parent: &str, ended: &Ended, service: &Arc<str>, least: Duration) {
         let parent = Bytes::copy_from_slice(parent.as_bytes());
         let end = match ended {
-            Ended::Answered { well: true, times } => NestedEnd::Well(times.clone()),
-            Ended::Answered { well: false, times } => NestedEnd::Badly(times.clone()),
+            Ended::Answered { well: true, times } => NestedEnd::Succeeded(times.clone()),
+            Ended::Answered { well: false, times } => NestedEnd::Failed(times.clone()),
             Ended::Refused => {
                 let mut times = SlotTimes::default();
                 times.add(service, least);
-                NestedEnd::Badly(times)
+                NestedEnd::Failed(times)
             }
         };
         self.state().running.nested_ended(&parent, &end);
--- a/crates/tallybridge-mesh/tests/support/overload.rs
+++ b/crates/tallybridge-mesh/tests/support/overload.rs
@@ -11,7 +11,7 @@
     Route,
     configuration::tenants::TenantRank,
     protocol::{BackendState, Load, PeerStatus, SlotTimes},
-    tables::{RootShedding, ServiceViews},
+    tables::{AdmissionControl, ServiceLoads},
 };
 
 use super::route;
@@ -76,7 +76,7 @@
 pub struct ChainFleet<'a> {
     demands: &'a [Demand],
     slots: f64,
-    shedding: RootShedding,
+    shedding: AdmissionControl,
     /// Requests let in by route, the newest first.
     admitted: VecDeque<Vec<f64>>,
     due: Vec<f64>,
@@ -87,7 +87,7 @@
 impl<'a> ChainFleet<'a> {
     /// A chain whose deepest service has so many slots.
     pub fn new(demands: &'a [Demand], slots: f64) -> Self {
-        let mut shedding = RootShedding::default();
+        let mut shedding = AdmissionControl::default();
         for demand in demands {
             let service = demand.route.parts[0].service.clone();
             shedding.admits(&demand.route, &service, TenantRank::default());
@@ -188,7 +188,7 @@
             .sum()
     }
 
-    fn views(&self) -> ServiceViews {
+    fn views(&self) -> ServiceLoads {
         let running = self.slots.min(self.offered * self.slots);
         let waiting = self.queued / CALL_SECONDS;
         // Whole numbers stand for a hundredth of a slot, as few slots are left.
@@ -203,7 +203,7 @@
             limit: WIDE,
             ..Load::default()
         };
-        let mut views = ServiceViews::default();
+        let mut views = ServiceLoads::default();
         for (service, load, called) in [("top", top, Some("deep")), ("deep", deep, None)] {
             let status = PeerStatus {
                 backend: BackendState::Ready,
--- a/crates/tallybridge-mesh/tests/support/shedding.rs
+++ b/crates/tallybridge-mesh/tests/support/shedding.rs
@@ -6,7 +6,7 @@
     Route,
     configuration::tenants::TenantRank,
     protocol::{BackendState, Load, PeerStatus, SlotTimes},
-    tables::{RootShedding, ServiceViews},
+    tables::{AdmissionControl, ServiceLoads},
 };
 
 /// What one service is told to look like.
@@ -30,8 +30,8 @@
     }
 }
 
-pub fn views(services: &[Seen]) -> ServiceViews {
-    let mut views = ServiceViews::default();
+pub fn views(services: &[Seen]) -> ServiceLoads {
+    let mut views = ServiceLoads::default();
     for seen in services {
         let told = PeerStatus {
             backend: BackendState::Ready,
@@ -49,11 +49,11 @@
     views
 }
 
-pub fn admitted(shedding: &mut RootShedding, route: &Route) -> usize {
+pub fn admitted(shedding: &mut AdmissionControl, route: &Route) -> usize {
     admitted_of(shedding, route, rank())
 }
 
-pub fn admitted_of(shedding: &mut RootShedding, route: &Route, rank: TenantRank) -> usize {
+pub fn admitted_of(shedding: &mut AdmissionControl, route: &Route, rank: TenantRank) -> usize {
     let service = route.parts[0].service.clone();
     (0..1000)
         .filter(|_| shedding.admits(route, &service, rank))
@@ -66,7 +66,7 @@
 }
 
 /// Ten answers of a route that cost each service the given milliseconds.
-pub fn learn(shedding: &mut RootShedding, route: &Route, costs: &[(&str, u64)]) {
+pub fn learn(shedding: &mut AdmissionControl, route: &Route, costs: &[(&str, u64)]) {
     let mut times = SlotTimes::default();
     for (service, held_ms) in costs {
         times.add(&Arc::from(*service), Duration::from_millis(*held_ms));
@@ -78,7 +78,7 @@
 }
 
 /// Answers of a route that are failures, after which it was known to cost this much at the least.
-pub fn fail(shedding: &mut RootShedding, route: &Route, answers: usize, costs: &[(&str, u64)]) {
+pub fn fail(shedding: &mut AdmissionControl, route: &Route, answers: usize, costs: &[(&str, u64)]) {
     let mut times = SlotTimes::default();
     for (service, held_ms) in costs {
         times.add(&Arc::from(*service), Duration::from_millis(*held_ms));
@@ -89,7 +89,7 @@
 }
 
 /// A deep service that is asked for three times what it can do.
-pub fn full_below() -> ServiceViews {
+pub fn full_below() -> ServiceLoads {
     views(&[
         seen("top", (100, 10, 10), &["deep"]),
         seen("deep", (10, 50, 300), &[]),
--- a/crates/tallybridge-mesh/tests/tables.rs
+++ b/crates/tallybridge-mesh/tests/tables.rs
@@ -9,7 +9,7 @@
     http::HttpLimits,
     link::Link,
     protocol::{BackendState, Load, NodeRecord, PeerStatus},
-    tables::{Choice, Executor, FailingChange, FailingShare, PeerTable},
+    tables::{Executor, FailureRate, FailureRateChange, PeerTable, PlacementQuery},
 };
 use tokio::{sync::mpsc, time::Instant};
 
@@ -113,13 +113,18 @@
     chosen_for(table, tried, false, Instant::now())
 }
 
-fn chosen_for(table: &mut PeerTable, tried: &[u16], may_repeat: bool, now: Instant) -> Option<u16> {
+fn chosen_for(
+    table: &mut PeerTable,
+    tried: &[u16],
+    is_idempotent: bool,
+    now: Instant,
+) -> Option<u16> {
     let tried: Vec<SocketAddr> = tried.iter().copied().map(at_port).collect();
-    let choice = Choice {
+    let choice = PlacementQuery {
         service: "ledger",
         local: None,
         tried: &tried,
-        may_repeat,
+        is_idempotent,
     };
     match table.choose(&choice, now)? {
         Executor::Peer(address, _) => Some(address.port()),
@@ -239,12 +244,12 @@
 
 #[test]
 fn the_share_of_failing_calls_follows_them_both_ways() {
-    let mut share = FailingShare::default();
+    let mut share = FailureRate::default();
     let told: Vec<_> = (0..20).filter_map(|_| share.ended(true)).collect();
-    assert_eq!(told, [FailingChange::Began], "told once");
+    assert_eq!(told, [FailureRateChange::Began], "told once");
     assert!(share.get() > 0.75, "{}", share.get());
     let told: Vec<_> = (0..30).filter_map(|_| share.ended(false)).collect();
-    assert_eq!(told, [FailingChange::Ended], "told once");
+    assert_eq!(told, [FailureRateChange::Ended], "told once");
     assert!(share.get() < 0.1, "{}", share.get());
     assert_eq!(Load::share_of(Load::wire_of(1.0)), 1.0);
 }
--- a/crates/tallybridge-mesh/tests/watchers.rs
+++ b/crates/tallybridge-mesh/tests/watchers.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use tallybridge_mesh::clock::Moment;
+use tallybridge_mesh::clock::BootInstant;
 use tallybridge_mesh::tables::WatcherTable;
 
 fn peer(number: u8) -> SocketAddr {
@@ -11,7 +11,7 @@
 
 #[test]
 fn a_confirmation_counts_for_its_version_and_older_ones_and_ages() {
-    let now = Moment::now();
+    let now = BootInstant::now();
     let mut watchers = WatcherTable::default();
     watchers.confirmed(peer(1), 7, now);
     watchers.confirmed(peer(2), 8, now);
@@ -26,7 +26,7 @@
 
 #[test]
 fn what_a_frozen_peer_asked_long_ago_confirms_nothing_and_a_lost_one_neither() {
-    let asked_at = Moment::now();
+    let asked_at = BootInstant::now();
     let now = asked_at + Duration::from_secs(5);
     let mut watchers = WatcherTable::default();
     watchers.confirmed(peer(1), 7, asked_at);
--- a/crates/tallybridge-mesh/tests/wire_format.rs
+++ b/crates/tallybridge-mesh/tests/wire_format.rs
@@ -5,8 +5,8 @@
 
 use bytes::{Bytes, BytesMut};
 use tallybridge_mesh::protocol::{
-    BackendState, CallMessage, CrashReport, Frame, HeldRequest, LifeSpending, Load, Message,
-    PeerStatus, QuotaAsk, QuotaGrant, RequestDigest, ServiceTime, SlotTimes,
+    BackendState, CallMessage, CrashReport, EpochSpending, Frame, Load, Message, PeerStatus,
+    QuarantinedRequest, QuotaAsk, QuotaGrant, RequestDigest, ServiceTime, SlotTimes,
 };
 
 const LOAD: Load = Load {
@@ -27,8 +27,8 @@
     RequestDigest([byte; 16])
 }
 
-fn spending() -> Vec<LifeSpending> {
-    vec![LifeSpending {
+fn spending() -> Vec<EpochSpending> {
+    vec![EpochSpending {
         life: 0x0102_0304,
         total: 0x0506_0708,
         age_ms: 0x090a,
@@ -37,15 +37,15 @@
 }
 
 fn call(flags: [bool; 4]) -> Message {
-    let [may_repeat, is_head_request, is_urgent, is_repeat] = flags;
+    let [is_idempotent, is_head_request, is_urgent, is_retry] = flags;
     Message::Call(CallMessage {
         remaining_ms: 0x0102_0304,
         wait_ms: 0x0506_0708,
         criticality: 3,
         kind: 0x0a0b,
-        may_repeat,
+        is_idempotent,
         is_urgent,
-        is_repeat,
+        is_retry,
         is_head_request,
         attempt: text("attempt"),
         head: text("GET /"),
@@ -145,7 +145,7 @@
             "00000026080e112233440102030405060708000000090000000a01010102030405060708090a03000100000203616e61",
         ),
         (
-            Message::QuotaGrant(QuotaGrant::NotHome),
+            Message::QuotaGrant(QuotaGrant::NotOwner),
             "00000006080f11223344000000000000",
         ),
         (
@@ -163,14 +163,14 @@
             "00000017080f112233440201020304010102030405060708090a03000100000203",
         ),
         (
-            Message::Crashed(CrashReport {
+            Message::Crash(CrashReport {
                 id: 0x0102_0304_0506_0708,
                 suspects: vec![digest(0xa1), digest(0xb2)],
             }),
             "000000280810112233440102030405060708a1a1a1a1a1a1a1a1a1a1a1a1a1a1a1a1b2b2b2b2b2b2b2b2b2b2b2b2b2b2b2b2",
         ),
         (
-            Message::Held(HeldRequest {
+            Message::Quarantined(QuarantinedRequest {
                 digest: digest(0xc3),
                 crashes: 3,
                 left: Duration::from_millis(0x0102_0304_0506),
--- a/crates/tallybridge-mesh/tests/work.rs
+++ b/crates/tallybridge-mesh/tests/work.rs
@@ -3,18 +3,18 @@
 use std::time::Duration;
 
 use tallybridge_core::Criticality;
-use tallybridge_mesh::tables::backend::slots::{NoSlot, Slot, Work};
+use tallybridge_mesh::tables::backend::slots::{BackendSlots, NoSlot, Slot};
 use tokio::time::{Instant, sleep};
 
 const LONG: Duration = Duration::from_secs(60);
 
-fn work_with(slots: u32) -> Work {
-    let work = Work::default();
+fn work_with(slots: u32) -> BackendSlots {
+    let work = BackendSlots::default();
     work.set_slots(slots);
     work
 }
 
-async fn fill(work: &Work) -> Vec<Slot> {
+async fn fill(work: &BackendSlots) -> Vec<Slot> {
     let mut held = Vec::new();
     for _ in 0..work.load().limit {
         let until = Instant::now() + LONG;
@@ -174,7 +174,7 @@
 }
 
 /// Keeps the slots of a back end taken that takes longer over its calls from a share of them on.
-async fn saturate(work: &Work, slots: u32, slow_from: f64, seconds: u64) {
+async fn saturate(work: &BackendSlots, slots: u32, slow_from: f64, seconds: u64) {
     let end = Instant::now() + Duration::from_secs(seconds);
     let callers = (0..slots * 2).map(|_| {
         let work = work.clone();
@@ -198,11 +198,11 @@
 
 #[tokio::test(start_paused = true)]
 async fn slots_on_which_a_back_end_slows_down_are_not_used_under_saturation() {
-    let sound = Work::default();
+    let sound = BackendSlots::default();
     sound.set_slots(38);
     saturate(&sound, 38, 1.0, 8).await;
     assert_eq!(sound.load().limit, 36);
-    let slowing = Work::default();
+    let slowing = BackendSlots::default();
     slowing.set_slots(38);
     saturate(&slowing, 38, 0.85, 8).await;
     let limit = slowing.load().limit;
