--- a/crates/standalone/tallybridge-membership/src/table.rs
+++ b/crates/standalone/tallybridge-membership/src/table.rs
@@ -17,7 +17,7 @@
     event::MemberEvent,
     gossip::Rounds,
     local_health::LocalHealth,
-    member::{Health, Incarnation, MemberIdentity, MemberRecord, MemberRow, MemberState},
+    member::{Health, Incarnation, MemberIdentity, MemberRecord, MemberRow},
     merge::Reporter,
     probe::Probes,
     probe_ring::ProbeRing,
@@ -112,12 +112,6 @@
         self.members.get(&node).map(|row| &row.record)
     }
 
-    /// Members that take new work, the owner included, in order of address.
-    pub fn alive_endpoints(&self) -> impl Iterator<Item = &MemberRecord> {
-        self.members()
-            .filter(|record| matches!(record.state(), MemberState::Alive | MemberState::Suspect))
-    }
-
     /// Takes what has happened since the last time.
     pub fn events(&mut self) -> Vec<MemberEvent> {
         self.events.drain(..).collect()
@@ -147,12 +141,6 @@
         }
     }
 
-    /// Every record, for a peer that takes it over another way than datagrams.
-    #[must_use]
-    pub fn full_table(&self) -> Vec<MemberRecord> {
-        self.members().cloned().collect()
-    }
-
     pub(crate) fn own_record(&self) -> &MemberRecord {
         &self.members[&self.own].record
     }
--- a/crates/standalone/tallybridge-node/src/tables/admission.rs
+++ b/crates/standalone/tallybridge-node/src/tables/admission.rs
@@ -8,7 +8,9 @@
 use tallybridge_config::settings::BackendSettings;
 use tallybridge_core::{Criticality, LoadReport, Refusal, ServiceName, TemplateName};
 use tallybridge_limits::{AdmissionQueue, QueueSettings};
-use tallybridge_overload::{AdmissionLevel, ConcurrencyLimit, LevelSettings, LimitSettings, Ramp};
+use tallybridge_overload::{
+    AdmissionThreshold, ConcurrencyLimit, LimitSettings, Ramp, ThresholdSettings,
+};
 use tokio::sync::oneshot;
 
 use super::{executions::Execution, service_time::ServiceTime};
@@ -118,7 +120,7 @@
     /// Calls that wait.
     pub queue: AdmissionQueue<Applicant>,
     /// Which classes are admitted now.
-    pub level: AdmissionLevel,
+    pub level: AdmissionThreshold,
     /// Slots by template.
     pub templates: BTreeMap<TemplateName, TemplateSlots>,
     /// What the services that the back end calls admit.
@@ -153,7 +155,7 @@
             service: backend.map(|backend| backend.service.clone()),
             limit,
             queue: AdmissionQueue::new(QUEUE),
-            level: AdmissionLevel::new(LevelSettings::default()),
+            level: AdmissionThreshold::new(ThresholdSettings::default()),
             templates: BTreeMap::new(),
             downstream: DownstreamLevels::default(),
             service_time: ServiceTime::default(),
--- a/crates/standalone/tallybridge-overload/src/early_refusal.rs
+++ b/crates/standalone/tallybridge-overload/src/early_refusal.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 use tallybridge_core::{Criticality, LoadReport};
 
-use crate::level::PROBE_SHARE;
+use crate::threshold::PROBE_SHARE;
 
 /// A report older than this does not count.
 const FRESH: Duration = Duration::from_millis(250);
--- a/crates/standalone/tallybridge-overload/src/lib.rs
+++ b/crates/standalone/tallybridge-overload/src/lib.rs
@@ -7,11 +7,11 @@
 mod allowance;
 mod backoff;
 mod early_refusal;
-mod level;
 mod limit;
+mod threshold;
 
 pub use allowance::Allowance;
 pub use backoff::Backoff;
 pub use early_refusal::EarlyRefusal;
-pub use level::{AdmissionLevel, LevelSettings};
 pub use limit::{ConcurrencyLimit, LimitSettings, Ramp, Sample, SampleResult};
+pub use threshold::{AdmissionThreshold, ThresholdSettings};
--- a/crates/standalone/tallybridge-overload/src/level.rs
+++ b/crates/standalone/tallybridge-overload/src/threshold.rs
@@ -14,16 +14,16 @@
 /// Calls of a class that must be seen before it may be called starved.
 const MIN_CALLS: f64 = 20.0;
 
-/// Settings of an [`AdmissionLevel`].
+/// Settings of an [`AdmissionThreshold`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LevelSettings {
+pub struct ThresholdSettings {
     /// The level does not fall while calls wait longer than this.
     pub target_delay: Duration,
     /// Time over which calls are counted, and in which the level falls by at most one class.
     pub interval: Duration,
 }
 
-impl Default for LevelSettings {
+impl Default for ThresholdSettings {
     fn default() -> Self {
         Self {
             target_delay: Duration::from_millis(50),
@@ -56,8 +56,8 @@
 /// The level rises at once, by as many classes as are starved, and falls by one class for each
 /// interval in which the classes above it met neither refusals nor a long delay.
 #[derive(Debug, Clone)]
-pub struct AdmissionLevel {
-    settings: LevelSettings,
+pub struct AdmissionThreshold {
+    settings: ThresholdSettings,
     counts: [ClassCount; Criticality::ALL.len()],
     level: usize,
     congested_at: Option<Instant>,
@@ -66,10 +66,10 @@
     congested: bool,
 }
 
-impl AdmissionLevel {
+impl AdmissionThreshold {
     /// A level that admits every class.
     #[must_use]
-    pub fn new(settings: LevelSettings) -> Self {
+    pub fn new(settings: ThresholdSettings) -> Self {
         Self {
             settings,
             counts: Default::default(),
--- a/crates/standalone/tallybridge-routing/src/table/mod.rs
+++ b/crates/standalone/tallybridge-routing/src/table/mod.rs
@@ -142,13 +142,6 @@
         self.updated = Some(now);
     }
 
-    /// Load of a service, or `None` when no endpoint of it is known.
-    #[must_use]
-    pub fn service_load(&self, service: &ServiceName, now: Instant) -> Option<ServiceLoad> {
-        let service = self.services.get(service)?;
-        Some(service.load(&self.settings, now))
-    }
-
     /// Every endpoint as of the latest tick, by service and node.
     #[must_use]
     pub fn snapshot(&self) -> Vec<EndpointStatus> {
--- a/crates/standalone/tallybridge-store/src/duty/acquire.rs
+++ b/crates/standalone/tallybridge-store/src/duty/acquire.rs
@@ -1,7 +1,5 @@
 //! Becoming the holder of a duty.
 
-use std::time::Duration;
-
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
@@ -86,22 +84,6 @@
             Taken::Own(_) => unreachable!("handled above"),
         }
     }
-
-    /// Waits up to `wait` until something happens to a duty after `current` took it: it is free,
-    /// or held by another one. It may also return early.
-    ///
-    /// # Errors
-    ///
-    /// Any [`StoreError`] of a read.
-    pub async fn wait_for_change(
-        store: &StoreClient,
-        name: &str,
-        current: FencingToken,
-        wait: Duration,
-    ) -> Result<(), StoreError> {
-        store.watch(&duty_key(name), current.0, wait).await?;
-        Ok(())
-    }
 }
 
 async fn take_key(
