--- a/crates/tallybridge-mesh/src/node/backend.rs
+++ b/crates/tallybridge-mesh/src/node/backend.rs
@@ -1,4 +1,8 @@
-//! What a node does about the back end beside it.
+//! What a node does about the back end beside it: it takes in reports, health checks and what connections
+//! show, and tells the other nodes and the tables that depend on a start of the back end.
+//!
+//! The rules stand in [`crate::tables::backend`]; here each is applied under the node's lock, and its
+//! effects follow after the lock is released.
 
 use bytes::Bytes;
 use tokio::time::Instant;
@@ -8,7 +12,9 @@
     clock::BootInstant,
     platform::InstanceReport,
     protocol::Load,
-    tables::{Ended, FailureRateChange, Incarnation, InstanceState, ReportEffect},
+    tables::{
+        EndedStart, FailureRate, FailureRateChange, Incarnation, InstanceState, ReportEffect,
+    },
 };
 
 impl Node {
@@ -42,9 +48,9 @@
         }
     }
 
-    /// The back end has started again under its id. It knows nothing of what the start before it was
-    /// handed, and nothing that was learned of that one holds.
-    fn instance_restarted(&self, ended: &Ended) {
+    /// The back end has started again under its id. It knows nothing of the calls that were dispatched to
+    /// the start before it, and nothing that was learned of that one holds.
+    fn instance_restarted(&self, ended: &EndedStart) {
         tracing::warn!(
             instance = ended.incarnation.id(),
             had_left = ended.had_left,
@@ -52,7 +58,7 @@
         );
         let crash = {
             let mut tables = self.tables();
-            tables.failing.forget();
+            tables.failing = FailureRate::default();
             tables.take_crash_before_restart(ended, BootInstant::now())
         };
         self.slots.forget_instance();
@@ -65,7 +71,7 @@
         self.instance_changed();
     }
 
-    /// Waits until the back end has started again after a start of it.
+    /// Waits until the back end has started again after this start of it.
     pub async fn start_is_over(&self, incarnation: &Incarnation) {
         let mut restarts = self.restarts.subscribe();
         loop {
@@ -80,8 +86,8 @@
         self.slots.set_slots(self.own_or_usual_slots(tables));
     }
 
-    /// Slots of the back end, or while it has told none those of others of its service; 0 while
-    /// nobody has told any.
+    /// Slots of the back end as it reported them, or else the usual ones of its service; 0 while no
+    /// back end of the service has reported any.
     pub(super) fn own_or_usual_slots(&self, tables: &Tables) -> u32 {
         let own = tables.instance.slots();
         if own > 0 {
@@ -104,13 +110,13 @@
         self.tables().instance.state()
     }
 
-    /// The instance that may be handed work now.
+    /// The start of the back end that may be given work now.
     #[must_use]
     pub fn instance_for_work(&self) -> Option<Incarnation> {
         self.tables().instance.takes_work(Instant::now())
     }
 
-    /// The back end answered a health check.
+    /// The back end answered a health check under an id.
     pub fn instance_verified(&self, instance: &str, is_healthy: bool) {
         let mut ended = None;
         let changed = {
@@ -119,7 +125,7 @@
             let is_other = current.is_none_or(|current| current.id() != instance);
             if is_other {
                 ended = tables.take_crash(BootInstant::now());
-                tables.failing.forget();
+                tables.failing = FailureRate::default();
                 self.slots.forget_instance();
             }
             let changed = tables
@@ -167,7 +173,7 @@
         self.verify.notified().await;
     }
 
-    /// How busy the back end is, and how many of its calls end badly.
+    /// How busy the back end is, and the share of its calls that end badly.
     #[must_use]
     pub fn load(&self) -> Load {
         let failing = self.tables().failing.get();
@@ -177,8 +183,8 @@
         }
     }
 
-    /// A call that was handed to the back end ended. A failure that may be that of a call which
-    /// it made itself says nothing of the back end.
+    /// A call that was dispatched to the back end ended. A failure that may come from a call that it made
+    /// itself says nothing of the back end, and is left out.
     pub fn call_ended(&self, attempt: &Bytes, badly: bool) {
         let change = {
             let mut tables = self.tables();
--- a/crates/tallybridge-mesh/src/node/quarantine.rs
+++ b/crates/tallybridge-mesh/src/node/quarantine.rs
@@ -7,7 +7,7 @@
     clock::BootInstant,
     protocol::{CallMessage, CrashReport, Frame, Message, QuarantinedRequest, RequestDigest},
     tables::{
-        Ended, Incarnation,
+        EndedStart, Incarnation,
         quarantine::{CallContent, DispatchEnd, DispatchId, InterruptedCalls},
     },
 };
@@ -49,7 +49,7 @@
     /// The same of a start after which the back end has started again under its id.
     pub(super) fn take_crash_before_restart(
         &mut self,
-        ended: &Ended,
+        ended: &EndedStart,
         now: BootInstant,
     ) -> Option<Crash> {
         let exposure = self.exposed.take_restarted(&ended.incarnation, now);
--- a/crates/tallybridge-mesh/src/platform.rs
+++ b/crates/tallybridge-mesh/src/platform.rs
@@ -42,8 +42,9 @@
 pub struct InstanceReport {
     /// The id under which the back end reports; an earlier start may have had it as well.
     pub instance: String,
-    /// When this start of it began, in Unix milliseconds of its clock; `None` when it does not tell.
-    pub born: Option<u64>,
+    /// When this start of it began, in Unix milliseconds of its clock; `None` when the report does not
+    /// say.
+    pub started_at_ms: Option<u64>,
     /// Its service, when the report says.
     pub service: Option<String>,
     /// What it says.
@@ -52,8 +53,6 @@
     pub sequence: u64,
     /// Requests that it works on at once; 0 when the report carries none.
     pub slots: u32,
-    /// How much longer it is slow after its start.
-    pub cold: Duration,
     /// Where it listens, when the report says.
     pub address: Option<SocketAddr>,
 }
--- a/crates/tallybridge-mesh/src/tables/backend/incarnation.rs
+++ b/crates/tallybridge-mesh/src/tables/backend/incarnation.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-/// One start of a back end. A back end may start again under the id that it had, so the id alone
-/// does not tell whom a call was handed to.
+/// One start of a back end. A back end may start again under the id that it had, so the id alone does not
+/// say to which start a call was dispatched.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Incarnation {
     id: Arc<str>,
@@ -11,7 +11,7 @@
 }
 
 impl Incarnation {
-    /// The start of this number, counted by the node beside the back end, of an id.
+    /// The start of an id that has this number; the node beside the back end counts them.
     #[must_use]
     pub const fn new(id: Arc<str>, start: u64) -> Self {
         Self { id, start }
--- a/crates/tallybridge-mesh/src/tables/backend/mod.rs
+++ b/crates/tallybridge-mesh/src/tables/backend/mod.rs
@@ -1,7 +1,11 @@
-//! The back end beside this node: which start of it runs, whether it takes work, its slots and the calls that
-//! wait for one, how many of its calls fail, and how much work it is offered.
+//! The back end beside this node. Each file owns one part of what is known of it:
+//!
+//! - `instance`: which start of it runs, and whether that takes work;
+//! - `slots`: how many calls it gets at once, and the calls that wait;
+//! - `slot_share`: which share of its slots is used;
+//! - `offered_load`: how much work it is offered;
+//! - `failures`: how many of its calls end badly.
 
-mod departures;
 mod failures;
 mod incarnation;
 mod instance;
@@ -11,4 +15,4 @@
 
 pub use failures::{FailureRate, FailureRateChange};
 pub use incarnation::Incarnation;
-pub use instance::{Ended, InstanceState, LocalInstance, ReportEffect};
+pub use instance::{EndedStart, InstanceState, LocalInstance, ReportEffect};
--- a/crates/tallybridge-mesh/src/tables/mod.rs
+++ b/crates/tallybridge-mesh/src/tables/mod.rs
@@ -12,7 +12,8 @@
 
 pub use admission::{AdmissionControl, ServiceLoads};
 pub use backend::{
-    Ended, FailureRate, FailureRateChange, Incarnation, InstanceState, LocalInstance, ReportEffect,
+    EndedStart, FailureRate, FailureRateChange, Incarnation, InstanceState, LocalInstance,
+    ReportEffect,
 };
 pub use peers::{Executor, LinkRequest, PeerTable, PlacementQuery, QuotaOwner};
 pub use retries::{FirstAttempt, RetryBudgets, RetryRequest};
--- a/crates/tallybridge-mesh/tests/instance.rs
+++ b/crates/tallybridge-mesh/tests/instance.rs
@@ -5,7 +5,7 @@
 use proptest::{prelude::*, test_runner::RngSeed};
 use tallybridge_mesh::{
     InstanceReport, ReportedState,
-    tables::{Ended, InstanceState, LocalInstance, ReportEffect},
+    tables::{EndedStart, InstanceState, LocalInstance, ReportEffect},
 };
 use tokio::time::Instant;
 
@@ -41,7 +41,7 @@
 fn report(instance: u8, leaving: bool, sequence: u64) -> InstanceReport {
     InstanceReport {
         instance: instance.to_string(),
-        born: None,
+        started_at_ms: None,
         service: None,
         state: if leaving {
             ReportedState::Leaving
@@ -50,7 +50,6 @@
         },
         sequence,
         slots: 7,
-        cold: Duration::ZERO,
         address: None,
     }
 }
@@ -132,9 +131,9 @@
 }
 
 /// A report of the start that began at a time, under one id.
-fn report_of(born: u64, leaving: bool, sequence: u64) -> InstanceReport {
+fn report_of(started_at_ms: u64, leaving: bool, sequence: u64) -> InstanceReport {
     InstanceReport {
-        born: Some(born),
+        started_at_ms: Some(started_at_ms),
         ..report(1, leaving, sequence)
     }
 }
@@ -167,7 +166,7 @@
         ..report_of(200, false, 1)
     };
     let effect = instance.report(&again, now);
-    let ended = Ended {
+    let ended = EndedStart {
         incarnation: before.clone(),
         had_left: false,
     };
