--- a/crates/tallybridge-limits/src/budget.rs
+++ b/crates/tallybridge-limits/src/budget.rs
@@ -1,9 +1,16 @@
-//! The share of retries to first attempts that a destination is sent.
+//! How many retries a destination is sent.
+//!
+//! **Rule.** Over any time to live, retries are at most a ratio of the first attempts plus a number a
+//! second. Each first attempt deposits its part, each retry withdraws one.
+//!
+//! **Inputs.** First attempts and retries, each counted when it is sent and for the time to live after.
+//!
+//! **Why.** Retries in proportion to first attempts bound the load that they add when everything fails.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Slices of the time to live; a deposit ages in steps of one slice.
+/// Slices of the time to live; a deposit ages in steps of one slice. Origin not recorded.
 const SLICES: u32 = 10;
 /// Units in which one withdrawal is counted, so that a share of it is exact.
 const UNITS_PER_RETRY: u64 = 1000;
@@ -15,9 +22,9 @@
     /// gives 0.1.
     pub ratio: f64,
     /// Retries allowed each second without any first attempts, for destinations that are rarely
-    /// called.
+    /// called. Origin of the default not recorded.
     pub min_per_second: u32,
-    /// A deposit counts for this time.
+    /// A deposit counts for this time. Origin of the default not recorded.
     pub ttl: Duration,
 }
 
--- a/crates/tallybridge-limits/src/lib.rs
+++ b/crates/tallybridge-limits/src/lib.rs
@@ -1,7 +1,8 @@
-//! What both programs bound work by: a queue for slots that is ordered by criticality, and a budget of
-//! retries in proportion to first attempts.
+//! What both programs bound work by: a queue for slots that is ordered by criticality
+//! ([`AdmissionQueue`]), and a budget of retries in proportion to first attempts ([`Budget`]).
 //!
-//! Each type is part of a table that one task owns: it does no I/O, starts no task and is told the time.
+//! Each type is plain state that its owner guards: it does no I/O, starts no task and takes the time as an
+//! argument. It relies on `tallybridge-core` for the classes of criticality, and on nothing else.
 
 mod budget;
 mod queue;
--- a/crates/tallybridge-limits/src/queue/admission.rs
+++ b/crates/tallybridge-limits/src/queue/admission.rs
@@ -46,7 +46,7 @@
         self.expected_service_time = expected;
     }
 
-    /// Calls that wait, without those that [`expire`](Self::expire) will hand out.
+    /// Calls that wait, without those that [`expire`](Self::expire) will return.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
--- a/crates/tallybridge-limits/src/queue/offer.rs
+++ b/crates/tallybridge-limits/src/queue/offer.rs
@@ -13,7 +13,7 @@
     pub deadline: Instant,
     /// When the call arrived at the node.
     pub arrived: Instant,
-    /// What the caller of the queue knows the call by.
+    /// What the owner of the queue knows the call by.
     pub item: T,
 }
 
--- a/crates/tallybridge-mesh/src/protocol/slot_times.rs
+++ b/crates/tallybridge-mesh/src/protocol/slot_times.rs
@@ -1,4 +1,7 @@
-//! What a call costs: the time that it holds slots of each service that it needs.
+//! What a call costs: the time for which it holds slots of each service that it needs.
+//!
+//! Executors add up the times of a call and of the calls below it; entries learn from the sum what a
+//! request of a route costs ([`crate::tables::admission`]).
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,12 +10,11 @@
 pub struct ServiceTime {
     /// The service.
     pub service: Arc<str>,
-    /// The time, summed over all calls of the service.
+    /// The time, summed over all calls to the service.
     pub held: Duration,
 }
 
-/// Time for which a call and all calls below it held slots, by service. It travels with the answer,
-/// so that an entry learns what a request of a route costs each service.
+/// Time for which a call and all calls below it held slots, by service. It is sent with the answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SlotTimes(Vec<ServiceTime>);
 
@@ -40,7 +42,7 @@
         self.0.iter()
     }
 
-    /// Time for which slots of a service were held.
+    /// Time for which slots of a service were held; zero if none were.
     #[must_use]
     pub fn of(&self, service: &str) -> Duration {
         let found = self.0.iter().find(|time| *time.service == *service);
--- a/crates/tallybridge-mesh/tests/support/chain/mod.rs
+++ b/crates/tallybridge-mesh/tests/support/chain/mod.rs
@@ -134,7 +134,7 @@
             self.send();
             sleep(STEP).await;
             if self.is_look_due() {
-                self.look();
+                self.tick();
             }
             while self.under_way.try_join_next().is_some() {}
         }
@@ -167,14 +167,14 @@
         }
     }
 
-    fn look(&self) {
+    fn tick(&self) {
         let mut views = ServiceLoads::default();
         for node in self.nodes.iter() {
             let name = &self.plan.services[node.service].name;
             views.add(name, &node.status(&self.plan), node.takes_work());
         }
         for node in self.nodes.iter() {
-            node.look(&views);
+            node.tick(&views);
         }
     }
 }
--- a/crates/tallybridge-mesh/tests/support/chain/node.rs
+++ b/crates/tallybridge-mesh/tests/support/chain/node.rs
@@ -157,7 +157,7 @@
         }
     }
 
-    pub fn look(&self, views: &ServiceLoads) {
+    pub fn tick(&self, views: &ServiceLoads) {
         self.work.tick();
         self.state().shedding.adapt(views);
     }
