--- a/crates/tallybridge-mesh/src/listener/peers.rs
+++ b/crates/tallybridge-mesh/src/listener/peers.rs
@@ -8,6 +8,7 @@
 };
 
 use bytes::{Bytes, BytesMut};
+use tallybridge_core::Refusal;
 use tokio::{
     net::{TcpListener, TcpStream},
     sync::mpsc,
@@ -21,7 +22,7 @@
     node::{Confirmed, Node},
     protocol::{NodeRecord, QuotaAsk, QuotaGrant},
     request::{
-        execute::{Answered, Executed, execute},
+        execute::{Answered, execute},
         quota,
     },
 };
@@ -249,10 +250,10 @@
     );
 }
 
-fn reply(node: &Node, executed: Executed) -> Message {
+fn reply(node: &Node, executed: Result<Answered, Refusal>) -> Message {
     let load = node.load();
     match executed {
-        Executed::Answered(Answered {
+        Ok(Answered {
             answer,
             made_calls,
             times,
@@ -264,7 +265,7 @@
             head: answer.headers.into(),
             body: answer.body,
         },
-        Executed::Refused(refusal) => Message::Refusal {
+        Err(refusal) => Message::Refusal {
             kind: refusal.kind as u8,
             outcome: refusal.outcome as u8,
             retry_after_ms: refusal
