--- a/crates/tallybridge-mesh/src/node/retries.rs
+++ b/crates/tallybridge-mesh/src/node/retries.rs
@@ -1,4 +1,4 @@
-//! The budgets from which calls are sent again.
+//! The node's operations on its retry budgets ([`crate::tables::retries`]).
 
 use std::sync::Arc;
 
@@ -9,21 +9,21 @@
 };
 
 impl Node {
-    /// Counts the first sending of a call.
-    pub fn record_first_attempt(&self, service: &Arc<str>, sending: FirstAttempt) {
-        self.tables()
-            .retries
-            .sent(service, sending, BootInstant::now());
+    /// Counts the first attempt of a call.
+    pub fn record_first_attempt(&self, service: &Arc<str>, attempt: FirstAttempt) {
+        let mut tables = self.tables();
+        let now = BootInstant::now();
+        tables.retries.record_first_attempt(service, attempt, now);
     }
 
-    /// Pays for sending a call again; `false` when it must not be sent.
+    /// Pays for a retry; `false` when it must not be sent.
     #[must_use]
     pub fn withdraw_retry(&self, service: &Arc<str>, is_urgent: bool) -> bool {
         let mut tables = self.tables();
-        let repeat = RetryRequest {
+        let retry = RetryRequest {
             calls_others: tables.calls_others(service),
             is_urgent,
         };
-        tables.retries.pay(service, repeat, BootInstant::now())
+        tables.retries.withdraw(service, retry, BootInstant::now())
     }
 }
--- a/crates/tallybridge-mesh/src/tables/retries.rs
+++ b/crates/tallybridge-mesh/src/tables/retries.rs
@@ -1,33 +1,51 @@
-//! What this node may send again to each service.
+//! Retry budgets: how many retries this node may send to each service.
 //!
-//! Over the fleet the arrivals at a service beyond the first of each request stay within a ratio of
-//! the requests for it. Each node keeps to that ratio of what it sent itself, so that nothing need be
-//! told. A run that is a repeat makes its calls anew, and these count as repeats of the services
-//! below, so calls carry whether a run above them is one: whoever sends such a call charges it to its
-//! own budget. The repeats of a whole chain thus stay within the ratio at each of its services,
-//! however deep it is.
+//! **Rule.** Over a window, the retries that a node sends to a service stay below a ratio of the first
+//! attempts that it sends there. Services that make no calls of their own get nearly the whole ratio,
+//! others a small part of it. A retry of a call that is not urgent must leave as much of the budget as
+//! urgent calls ask for.
+//!
+//! **Inputs.** This node's own first attempts and retries of the last `window_ms` milliseconds, by
+//! service, and which of the attempts stand below a retry further up; whether the service makes calls
+//! of its own, as its nodes reported within the last seconds; whether the call is urgent; `ratio` and
+//! `window_ms` of the settings.
+//!
+//! **Output.** Whether a retry is paid for. An unpaid one must not be sent.
+//!
+//! **Why.** The bound holds for the whole fleet if each node keeps it for what it sends itself, so that
+//! nothing need be exchanged. A run that is a retry makes its nested calls anew, and these are retries
+//! of the services below, so calls carry whether a run above them is a retry, and whoever sends such a
+//! call charges it to its own budget. The retries of a whole chain thus stay within the ratio at each of
+//! its services, however deep it is (`tests/retries.rs`, over random chains).
+//!
+//! **Constants.** Weighed in docs/design/shifted-work.md ("Decisions, two ways or more"): fixed shares
+//! by level and budgets that urgent calls share alike with others lost.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use crate::{clock::BootInstant, settings::RetrySettings};
 use tallybridge_limits::{Budget, BudgetSettings};
 
-/// Part of the fleet's ratio for repeats to services that make no calls of their own, where a repeat
-/// is cheapest. The rest covers calls that are sent and never arrive, which earn and don't count.
-const PART_DEEPEST: f64 = 0.9;
-/// Part for repeats to services that do. Each such repeat takes what all its calls cost from the
-/// services below.
-const PART_ABOVE: f64 = 0.13;
-/// Most of a budget that is left to urgent calls while others ask for it. Where a whole service turns
-/// away half of its calls there is not enough for all. Shared alike, it was used up by reads with twice
-/// as many calls, for next to no answer: the worst seconds of such a time earned 0.14 of what they
-/// could, and 0.27 with this (82 machines, one play each).
-const MOST_LEFT: f64 = 0.9;
-/// Weight of the newest first sending in the repeats that urgent calls ask for. A node deep in a chain
-/// sends some two thousand calls a second and so sees a change within a quarter of one.
-const ASKED_GAIN: f64 = 0.002;
+/// Share of the ratio for retries to services that make no calls of their own, where a retry is
+/// cheapest. The rest covers calls that are sent and never arrive, which count here as first attempts
+/// and not at the service. A day on which such a service turned away half of its calls went from 0.513
+/// to 0.553 of its worth when it took the place of 0.6, nested calls of retries were charged and half
+/// was reserved for urgent calls (docs/design/shifted-work.md).
+const LEAF_SHARE: f64 = 0.9;
+/// Share for retries to services that make calls, each of which makes all its nested calls again. Three
+/// of these and a share of 0.6 for the service at the end of a chain made up the ratio while nested
+/// calls of retries were not charged; it was kept when they were.
+const INNER_SHARE: f64 = 0.13;
+/// Most of a budget that is reserved for urgent calls. Where a whole service turns away half of its
+/// calls there is not enough for all. Shared alike, it was used up by reads with twice as many calls,
+/// for next to no answer: the worst seconds of such a time earned 0.14 of what they could, and 0.27 with
+/// this (82 machines, one play each). Origin of the figure itself not recorded.
+const MAX_RESERVED: f64 = 0.9;
+/// Weight of the newest first attempt in the demand of urgent calls. A node deep in a chain sends some
+/// two thousand calls a second and so sees a change within a quarter of one.
+const DEMAND_GAIN: f64 = 0.002;
 
-/// A call that is to be sent again.
+/// A retry that is to be paid for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetryRequest {
     /// Whether its service makes calls of its own.
@@ -36,25 +54,28 @@
     pub is_urgent: bool,
 }
 
-/// A call that is sent for the first time.
+/// A call that is sent to its first executor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FirstAttempt {
-    /// Whether a run above it is a repeat.
+    /// Whether a run above it is a retry.
     pub is_below_retry: bool,
 }
 
-/// Budgets of one service.
+/// Budgets of one service. Whether the service makes calls may change, so each retry is counted in
+/// both, and paid from the one that applies.
 #[derive(Debug)]
 struct ServiceBudgets {
-    deepest: Budget,
-    above: Budget,
-    /// Repeats that urgent calls ask for, paid or not, for each first sending of any call.
-    urgent_asked: f64,
-    /// Repeats that each first sending allows.
+    /// For while the service makes no calls of its own.
+    leaf: Budget,
+    /// For while it does.
+    inner: Budget,
+    /// Retries that urgent calls ask for, paid or not, for each first attempt of any call.
+    urgent_demand: f64,
+    /// Retries that each first attempt allows.
     ratio: f64,
 }
 
-/// A budget for each service, in proportion to this node's own first sendings.
+/// Budgets for each service, in proportion to this node's own first attempts.
 #[derive(Debug)]
 pub struct RetryBudgets {
     settings: RetrySettings,
@@ -62,7 +83,7 @@
 }
 
 impl RetryBudgets {
-    /// Budgets within the bounds of the fleet.
+    /// Empty budgets with these bounds.
     #[must_use]
     pub fn new(settings: RetrySettings) -> Self {
         Self {
@@ -71,7 +92,7 @@
         }
     }
 
-    /// Changes the bounds. What was counted is forgotten where they differ.
+    /// Changes the bounds. Where they differ, all budgets begin empty.
     pub fn set(&mut self, settings: RetrySettings) {
         if settings != self.settings {
             self.settings = settings;
@@ -79,33 +100,39 @@
         }
     }
 
-    /// Counts a first sending.
-    pub fn sent(&mut self, service: &Arc<str>, sending: FirstAttempt, now: BootInstant) {
+    /// Counts a first attempt.
+    pub fn record_first_attempt(
+        &mut self,
+        service: &Arc<str>,
+        attempt: FirstAttempt,
+        now: BootInstant,
+    ) {
         let budgets = self.budgets(service);
         let now = now.into_std();
-        budgets.deepest.deposit(now);
-        budgets.above.deposit(now);
-        if sending.is_below_retry {
-            budgets.charge(now);
+        budgets.leaf.deposit(now);
+        budgets.inner.deposit(now);
+        if attempt.is_below_retry {
+            budgets.leaf.charge(now);
+            budgets.inner.charge(now);
         }
-        budgets.urgent_asked *= 1.0 - ASKED_GAIN;
+        budgets.urgent_demand *= 1.0 - DEMAND_GAIN;
     }
 
-    /// Pays for a repeat to a service; `false` when it must not be sent.
+    /// Pays for a retry to a service; `false` when it must not be sent.
     #[must_use]
-    pub fn pay(&mut self, service: &Arc<str>, repeat: RetryRequest, now: BootInstant) -> bool {
+    pub fn withdraw(&mut self, service: &Arc<str>, retry: RetryRequest, now: BootInstant) -> bool {
         let budgets = self.budgets(service);
         let now = now.into_std();
-        let left = budgets.left_to_others(repeat);
-        if repeat.is_urgent {
-            budgets.urgent_asked += ASKED_GAIN;
+        let reserved = budgets.reserved_from(retry);
+        if retry.is_urgent {
+            budgets.urgent_demand += DEMAND_GAIN;
         }
-        let (used, other) = if repeat.calls_others {
-            (&mut budgets.above, &mut budgets.deepest)
+        let (used, other) = if retry.calls_others {
+            (&mut budgets.inner, &mut budgets.leaf)
         } else {
-            (&mut budgets.deepest, &mut budgets.above)
+            (&mut budgets.leaf, &mut budgets.inner)
         };
-        let is_paid = used.withdraw_above(left, now);
+        let is_paid = used.withdraw_above(reserved, now);
         if is_paid {
             other.charge(now);
         }
@@ -116,33 +143,32 @@
         let settings = self.settings;
         self.services
             .entry(service.clone())
-            .or_insert_with(|| ServiceBudgets {
-                deepest: budget(settings, PART_DEEPEST),
-                above: budget(settings, PART_ABOVE),
-                urgent_asked: 0.0,
-                ratio: settings.ratio * PART_DEEPEST,
-            })
+            .or_insert_with(|| ServiceBudgets::new(settings))
     }
 }
 
 impl ServiceBudgets {
-    /// Part of a budget that a repeat must leave.
-    fn left_to_others(&self, repeat: RetryRequest) -> f64 {
-        if repeat.is_urgent {
-            return 0.0;
+    fn new(settings: RetrySettings) -> Self {
+        Self {
+            leaf: budget(settings, LEAF_SHARE),
+            inner: budget(settings, INNER_SHARE),
+            urgent_demand: 0.0,
+            ratio: settings.ratio * LEAF_SHARE,
         }
-        (self.urgent_asked / self.ratio.max(f64::MIN_POSITIVE)).min(MOST_LEFT)
     }
 
-    fn charge(&mut self, now: std::time::Instant) {
-        self.deepest.charge(now);
-        self.above.charge(now);
+    /// Share of a budget, 0 to 1, that a retry must leave to urgent calls.
+    fn reserved_from(&self, retry: RetryRequest) -> f64 {
+        if retry.is_urgent {
+            return 0.0;
+        }
+        (self.urgent_demand / self.ratio.max(f64::MIN_POSITIVE)).min(MAX_RESERVED)
     }
 }
 
-fn budget(settings: RetrySettings, part: f64) -> Budget {
+fn budget(settings: RetrySettings, share: f64) -> Budget {
     Budget::new(BudgetSettings {
-        ratio: settings.ratio * part,
+        ratio: settings.ratio * share,
         min_per_second: 0,
         ttl: Duration::from_millis(settings.window_ms),
     })
--- a/crates/tallybridge-mesh/tests/decisions.rs
+++ b/crates/tallybridge-mesh/tests/decisions.rs
@@ -235,13 +235,13 @@
         let sending = FirstAttempt {
             is_below_retry: random.random_bool(0.05),
         };
-        budgets.sent(service, sending, BootInstant::now());
+        budgets.record_first_attempt(service, sending, BootInstant::now());
         if random.random_bool(0.4) {
             let repeat = RetryRequest {
                 calls_others: random.random_bool(0.3),
                 is_urgent: random.random_bool(0.4),
             };
-            decisions.note(budgets.pay(service, repeat, BootInstant::now()));
+            decisions.note(budgets.withdraw(service, repeat, BootInstant::now()));
         }
     }
     decisions.expect(0xf094_c2bb_40a4_0876, 7973);
--- a/crates/tallybridge-mesh/tests/retries.rs
+++ b/crates/tallybridge-mesh/tests/retries.rs
@@ -37,7 +37,9 @@
     now: BootInstant,
 ) -> usize {
     let tries = 0..5000;
-    tries.filter(|_| budgets.pay(service, repeat, now)).count()
+    tries
+        .filter(|_| budgets.withdraw(service, repeat, now))
+        .count()
 }
 
 #[test]
@@ -46,9 +48,9 @@
     let now = BootInstant::now();
     let earned = || {
         let mut budgets = RetryBudgets::new(SETTINGS);
-        assert!(!budgets.pay(&service, repeat(false, true), now));
+        assert!(!budgets.withdraw(&service, repeat(false, true), now));
         for _ in 0..1000 {
-            budgets.sent(&service, SENDING, now);
+            budgets.record_first_attempt(&service, SENDING, now);
         }
         budgets
     };
@@ -74,7 +76,7 @@
         let sending = FirstAttempt {
             is_below_retry: number % 10 == 0,
         };
-        budgets.sent(&service, sending, now);
+        budgets.record_first_attempt(&service, sending, now);
     }
     let left = paid(&mut budgets, &service, repeat(false, true), now);
     assert!((70..=90).contains(&left), "100 of 180 are spent: {left}");
@@ -91,7 +93,7 @@
     // All is well for a window, then not for as long.
     for number in 0..40_000_u32 {
         let now = began + Duration::from_micros(500) * number;
-        budgets.sent(&service, SENDING, now);
+        budgets.record_first_attempt(&service, SENDING, now);
         let is_urgent = number % 2 == 0;
         let failing = if is_urgent {
             failing_urgent
@@ -101,7 +103,7 @@
         if number >= 20_000 && random.random_bool(failing) {
             let class = usize::from(!is_urgent);
             asked[class] += 1;
-            paid[class] += u32::from(budgets.pay(&service, repeat(false, is_urgent), now));
+            paid[class] += u32::from(budgets.withdraw(&service, repeat(false, is_urgent), now));
         }
     }
     [0, 1].map(|class| f64::from(paid[class]) / f64::from(asked[class].max(1)))
@@ -167,7 +169,7 @@
         let of_level = &mut self.levels[level];
         let service = of_level.service.clone();
         let sending = FirstAttempt { is_below_retry };
-        of_level.budgets[node].sent(&service, sending, now);
+        of_level.budgets[node].record_first_attempt(&service, sending, now);
         of_level.requests.push(at);
         if is_below_retry {
             of_level.repeats.push(at);
@@ -177,7 +179,7 @@
         }
         let again = repeat(!is_last, false);
         let of_level = &mut self.levels[level];
-        if !of_level.budgets[node].pay(&service, again, now) {
+        if !of_level.budgets[node].withdraw(&service, again, now) {
             return false;
         }
         of_level.repeats.push(at);
