--- a/crates/tallybridge-mesh/src/protocol/payload.rs
+++ b/crates/tallybridge-mesh/src/protocol/payload.rs
@@ -261,7 +261,7 @@
     for life in lives.iter().take(told_lives(lives).into()) {
         let parts = u8::try_from(life.requests.len()).unwrap_or(u8::MAX);
         out.extend_from_slice(&fields(&LifeFields {
-            life: life.life,
+            life: life.epoch,
             total: life.total,
             age_ms: life.age_ms,
             parts,
@@ -285,7 +285,7 @@
     let parts = payload.split_to(length);
     let requests = parts.chunks_exact(size_of::<u16>());
     Some(EpochSpending {
-        life: fields.life,
+        epoch: fields.life,
         total: fields.total,
         age_ms: fields.age_ms,
         requests: requests
--- a/crates/tallybridge-mesh/src/protocol/quota.rs
+++ b/crates/tallybridge-mesh/src/protocol/quota.rs
@@ -1,53 +1,54 @@
-//! What nodes ask and tell each other of the limits of tenants.
+//! Messages between an entry and the owner of a tenant's rate limit. The rule:
+//! [`tables::quotas`](crate::tables::quotas).
 
 use std::time::Duration;
 
-/// What an entry asks a home for.
+/// An entry's request for tokens.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QuotaAsk {
-    /// The entry: its process.
+    /// Process of the entry.
     pub entry: u64,
     /// Tokens that are wanted beyond the first.
     pub ahead: u32,
-    /// Requests of the tenant that the entry let in within the last window, whoever was the home.
+    /// Requests of the tenant that the entry admitted within the last window, whoever the owner was.
     pub spent: u32,
-    /// What homes gave out within the last window, as those that answered told this entry.
+    /// What owners granted within the last window, as they reported it to this entry.
     pub fleet: WindowSpending,
 }
 
-/// What a home answers an entry that asks for tokens.
+/// An owner's answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum QuotaGrant {
     /// The tenant is within its limit.
     Tokens {
         /// Tokens that the entry gets, at least one.
         tokens: u32,
-        /// What homes gave out within the last window, these among it.
+        /// What owners granted within the last window, these included.
         fleet: WindowSpending,
     },
     /// The tenant is at its limit.
     Spent {
         /// Time after which a token is likely to be free.
         wait: Duration,
-        /// What homes gave out within the last window.
+        /// What owners granted within the last window.
         fleet: WindowSpending,
     },
-    /// The node that was asked does not take itself for the tenant's home.
+    /// The node does not own the tenant's limit, or can't tell yet what was granted before.
     NotOwner,
 }
 
-/// What a home gave out in one life of it, as nodes tell each other.
+/// What an owner granted in one epoch: the time for which it is the owner without a break.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EpochSpending {
-    /// The life.
-    pub life: u32,
-    /// All that it gave out so far: of two tellings the greater is the newer.
+    /// Random number of the epoch.
+    pub epoch: u32,
+    /// All that was granted since the epoch began: of two reports the greater total is the newer.
     pub total: u32,
     /// Milliseconds since the newest part began.
     pub age_ms: u16,
-    /// Requests by part, the newest first, up to the last that has any.
+    /// Requests by part of the window, the newest first, up to the last part that has any.
     pub requests: Vec<u16>,
 }
 
-/// What is known of all lives within the window.
+/// What is known of all epochs within the window.
 pub type WindowSpending = Vec<EpochSpending>;
--- a/crates/tallybridge-mesh/src/request/credentials.rs
+++ b/crates/tallybridge-mesh/src/request/credentials.rs
@@ -1,4 +1,17 @@
-//! For which tenant a request is made.
+//! For which tenant a request is made, by the key that it carries.
+//!
+//! **Rule.** A request of a route that is not public needs exactly one key that a tenant holds, and the
+//! configuration must be young enough to tell that the key was not removed.
+//!
+//! **Inputs.** The request's key; the configuration in force; the time since it was read from the store
+//! ([`Node::knows_revocations`]) and since it was confirmed ([`Node::is_configuration_fresh`]).
+//!
+//! **Output.** The tenant, or a refusal: the configuration is stale (503), or the key is unknown (401; 503
+//! while it may just be new here).
+//!
+//! **Why.** A removed key must stop working everywhere within `revoke_within_ms`, also at nodes that are cut
+//! off. What a request says of its place in a chain of calls admits it nowhere: a name can be made up.
+//! What was weighed: `docs/design/quotas.md`.
 
 use std::sync::Arc;
 
@@ -11,12 +24,11 @@
     node::Node,
 };
 
-/// The tenant whose key a request carries; `None` where none is needed. What the request says of its
-/// own place in a chain lets it in nowhere: a name can be made up.
+/// The tenant whose key a request carries; `None` where none is needed.
 ///
 /// # Errors
 ///
-/// A refusal when the key is unknown, or may have been taken away since the configuration was read.
+/// A refusal when the key is unknown, or may have been removed since the configuration was read.
 pub(super) fn tenant_of(
     node: &Node,
     configuration: &Configuration,
@@ -42,7 +54,7 @@
     holder.cloned().map(Some).ok_or_else(|| unknown_key(node))
 }
 
-/// A key may be unknown since it is new: only a fresh configuration says that nobody holds it.
+/// A key may be unknown because it is new: only a fresh configuration tells that nobody holds it.
 fn unknown_key(node: &Node) -> Refusal {
     let is_behind = node.peer_with_newer_configuration().is_some();
     if node.is_configuration_fresh(CONFIGURATION_TRUSTED) && !is_behind {
--- a/crates/tallybridge-mesh/src/request/quota.rs
+++ b/crates/tallybridge-mesh/src/request/quota.rs
@@ -1,4 +1,5 @@
-//! Whether a tenant's limit lets a request in.
+//! Whether a request is within its tenant's rate limit: asks the owner of the limit for a token. The rule:
+//! [`tables::quotas`](crate::tables::quotas).
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -18,17 +19,18 @@
     tables::{QuotaOwner, quotas::TokenAnswer},
 };
 
-/// Longest wait for the answer of a tenant's home, many times what a busy node takes.
+/// Longest wait for an owner's answer, which takes about a millisecond, or three across zones
+/// (`docs/design/quotas.md`). Origin of the figure not recorded.
 const ANSWER_WITHIN: Duration = Duration::from_millis(200);
-/// Wait before a home is asked for again that another node is taken for: nodes learn of one that
-/// comes or goes within some 100 ms of each other.
+/// Wait before an owner is asked again that did not answer or does not know that it is the owner: nodes
+/// learn of one that comes or goes within some 100 ms of each other. Origin of the figure not recorded.
 const ASK_AGAIN: Duration = Duration::from_millis(30);
 
-/// Lets a request of a tenant in, if its limit allows it; tries until a time.
+/// Admits a request of a tenant if its limit allows it; asks until the time `until`.
 ///
 /// # Errors
 ///
-/// A refusal when the tenant is at its limit, or its limit can't be asked for.
+/// A refusal when the tenant is at its limit, or nobody can tell whether it is.
 pub(super) async fn admit(
     node: &Arc<Node>,
     tenant: &Tenant,
@@ -37,20 +39,19 @@
     if tenant.limit.is_none() {
         return Ok(());
     }
-    let (ahead, spent, fleet) = match node.take_held_token(tenant) {
+    let ask = match node.take_held_token(tenant) {
         TokenAnswer::Admitted => return Ok(()),
         TokenAnswer::Spent(wait) => return Err(over_quota(wait)),
         TokenAnswer::Ask {
             ahead,
             spent,
             fleet,
-        } => (ahead, spent, fleet),
-    };
-    let ask = QuotaAsk {
-        entry: node.record.process,
-        ahead,
-        spent,
-        fleet,
+        } => QuotaAsk {
+            entry: node.record.process,
+            ahead,
+            spent,
+            fleet,
+        },
     };
     loop {
         match ask_owner(node, tenant, ask.clone()).await {
@@ -65,9 +66,7 @@
             Some(QuotaGrant::NotOwner) | None => {}
         }
         if BootInstant::now() + ASK_AGAIN >= until {
-            let refusal = Refusal::new(ErrorKind::PeerLost, "limit of the tenant can't be asked");
-            let refusal = refusal.with_outcome(Outcome::NotRun);
-            return Err(refusal.with_retry_after(RETRY_AFTER));
+            return Err(no_owner());
         }
         sleep(ASK_AGAIN).await;
     }
@@ -77,7 +76,13 @@
     Refusal::new(ErrorKind::OverQuota, "tenant is at its limit").with_retry_after(wait)
 }
 
-/// Asks the tenant's home for tokens; `None` when it does not answer.
+fn no_owner() -> Refusal {
+    Refusal::new(ErrorKind::PeerLost, "limit of the tenant can't be asked")
+        .with_outcome(Outcome::NotRun)
+        .with_retry_after(RETRY_AFTER)
+}
+
+/// Asks the tenant's owner for tokens; `None` when it does not answer.
 async fn ask_owner(node: &Node, tenant: &Tenant, ask: QuotaAsk) -> Option<QuotaGrant> {
     node.counters.quota_asks.fetch_add(1, Ordering::Relaxed);
     match node.quota_owner(tenant) {
@@ -87,8 +92,8 @@
     }
 }
 
-/// Asks the home of a tenant for another node. That one may reach this node and not the home, as when a
-/// connection between them has gone silent: its requests would be refused until a new one is open.
+/// Asks a tenant's owner on behalf of another node. That node may reach this one and not the owner, as when a
+/// connection between them went silent: its requests would be refused until a new one is open.
 pub async fn forward(node: &Node, tenant: &[u8], ask: QuotaAsk) -> QuotaGrant {
     let Some(tenant) = node.tenant_named(tenant) else {
         return QuotaGrant::NotOwner;
@@ -100,6 +105,7 @@
     grant.unwrap_or(QuotaGrant::NotOwner)
 }
 
+/// `None` when the link is lost or no answer comes: the caller asks again, by then perhaps another owner.
 async fn ask_peer(
     link: &Arc<Link>,
     tenant: &Tenant,
--- a/crates/tallybridge-mesh/src/tables/peers/quota_owner.rs
+++ b/crates/tallybridge-mesh/src/tables/peers/quota_owner.rs
@@ -1,4 +1,4 @@
-//! Which node keeps the limit of a tenant.
+//! Which node owns the rate limit of a tenant. The rule of limits: [`tables::quotas`](crate::tables::quotas).
 
 use std::{collections::HashSet, sync::Arc};
 
@@ -7,42 +7,47 @@
 use super::PeerTable;
 use crate::link::Link;
 
-/// The home of a tenant.
+/// The owner of a tenant's limit.
 #[derive(Debug, Clone)]
 pub enum QuotaOwner {
     /// This node.
     Local,
-    /// Another one.
+    /// Another node.
     Peer(Arc<Link>),
-    /// None that all nodes agree on: each keeps one of so many equal parts of the limit.
+    /// None on which all nodes would agree: each keeps one of so many equal parts of the limit.
     Split(usize),
 }
 
 impl PeerTable {
-    /// The node that ranks first for a tenant among those that this one reaches. Only nodes beside
-    /// back ends of services count whose nodes are all linked to, so that every node ranks the same
-    /// ones; where there is none of these, there is no home.
+    /// The node that ranks first for a tenant, by rendezvous hashing, among those that this one reaches. Only
+    /// nodes of services count whose nodes are all linked to, so that every node ranks the same ones; where
+    /// no service is, the limit is split.
     #[must_use]
     pub fn quota_owner(&self, tenant: &str) -> QuotaOwner {
-        let seed = xxh3_64(tenant.as_bytes());
-        let rank = |node: &str| xxh3_64_with_seed(node.as_bytes(), seed);
-        let spares = self.spares.values();
-        let partial: HashSet<&str> = spares.map(|spare| &*spare.record.service).collect();
-        if !self.services.is_empty() && partial.len() >= self.services.len() {
+        let partly_linked = self.partly_linked_services();
+        if !self.services.is_empty() && partly_linked.len() >= self.services.len() {
             return QuotaOwner::Split(self.known_size());
         }
-        let counts = |service: &str| !partial.contains(service);
+        let seed = xxh3_64(tenant.as_bytes());
+        let rank = |node: &str| xxh3_64_with_seed(node.as_bytes(), seed);
+        let counts = |service: &str| !partly_linked.contains(service);
         let own = counts(&self.own.service).then(|| (rank(&self.own.node), QuotaOwner::Local));
         let peers = self.rows.values().filter_map(|row| {
             let link = row.link.as_ref().filter(|link| !link.is_suspect())?;
-            let home = || (rank(&row.record.node), QuotaOwner::Peer(link.clone()));
-            counts(&row.record.service).then(home)
+            let ranked = || (rank(&row.record.node), QuotaOwner::Peer(link.clone()));
+            counts(&row.record.service).then(ranked)
         });
         let first = own.into_iter().chain(peers).max_by_key(|(rank, _)| *rank);
-        first.map_or(QuotaOwner::Local, |(_, home)| home)
+        first.map_or(QuotaOwner::Local, |(_, owner)| owner)
+    }
+
+    /// Services of which this node links to a subset only.
+    fn partly_linked_services(&self) -> HashSet<&str> {
+        let spares = self.spares.values();
+        spares.map(|spare| &*spare.record.service).collect()
     }
 
-    /// The nodes that are reached, in one number that changes when they do.
+    /// The nodes in reach as one number, which changes when they do.
     #[must_use]
     pub fn reached_fingerprint(&self) -> u64 {
         let reached = self.rows.values().filter(|row| {
@@ -53,13 +58,13 @@
         digests.fold(0, |sum, digest| sum ^ digest)
     }
 
-    /// Whether any node is reached.
+    /// Whether any node is in reach.
     #[must_use]
     pub fn reaches_any(&self) -> bool {
         self.reached() > 0
     }
 
-    /// Whether at least half of the nodes that this one links to are reached.
+    /// Whether at least half of the nodes that this one links to are in reach.
     #[must_use]
     pub fn reaches_most(&self) -> bool {
         self.reached() * 2 >= self.rows.len()
--- a/crates/tallybridge-mesh/tests/peer_messages.rs
+++ b/crates/tallybridge-mesh/tests/peer_messages.rs
@@ -13,23 +13,23 @@
     prop::collection::vec(any::<u8>(), 0..200).prop_map(Bytes::from)
 }
 
-fn lives() -> impl Strategy<Value = Vec<EpochSpending>> {
-    let life = any::<(u32, u32, u16)>();
-    let life = (life, prop::collection::vec(any::<u16>(), 0..22));
-    let life = life.prop_map(|((life, total, age_ms), requests)| EpochSpending {
-        life,
+fn epochs() -> impl Strategy<Value = Vec<EpochSpending>> {
+    let epoch = any::<(u32, u32, u16)>();
+    let epoch = (epoch, prop::collection::vec(any::<u16>(), 0..22));
+    let epoch = epoch.prop_map(|((epoch, total, age_ms), requests)| EpochSpending {
+        epoch,
         total,
         age_ms,
         requests,
     });
-    prop::collection::vec(life, 0..5)
+    prop::collection::vec(epoch, 0..5)
 }
 
 fn grant() -> impl Strategy<Value = QuotaGrant> {
     prop_oneof![
         Just(QuotaGrant::NotOwner),
-        (any::<u32>(), lives()).prop_map(|(tokens, fleet)| QuotaGrant::Tokens { tokens, fleet }),
-        (any::<u32>(), lives()).prop_map(|(ms, fleet)| {
+        (any::<u32>(), epochs()).prop_map(|(tokens, fleet)| QuotaGrant::Tokens { tokens, fleet }),
+        (any::<u32>(), epochs()).prop_map(|(ms, fleet)| {
             let wait = Duration::from_millis(ms.into());
             QuotaGrant::Spent { wait, fleet }
         }),
@@ -146,7 +146,7 @@
             read_at_ms,
         }),
         any::<u64>().prop_map(|now_ms| Message::Clock { now_ms }),
-        (bytes(), any::<(u64, u32, u32)>(), lives(), any::<bool>()).prop_map(
+        (bytes(), any::<(u64, u32, u32)>(), epochs(), any::<bool>()).prop_map(
             |(tenant, ask, fleet, is_forwarded)| {
                 let (entry, ahead, spent) = ask;
                 let ask = QuotaAsk {
--- a/crates/tallybridge-mesh/tests/homes.rs
+++ b/crates/tallybridge-mesh/tests/quota_owner.rs
@@ -1,4 +1,4 @@
-//! Which node keeps the limit of a tenant: all nodes agree, without telling each other.
+//! Which node owns the rate limit of a tenant: all nodes agree, without an exchange of messages.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -51,8 +51,8 @@
     table
 }
 
-/// The number of the node that a node takes for the home of a tenant; `None` where each keeps a part.
-fn home_of(table: &PeerTable, own: u16, tenant: &str) -> Option<u16> {
+/// The number of the node that a node takes for the owner of a tenant; `None` where each keeps a part.
+fn owner_of(table: &PeerTable, own: u16, tenant: &str) -> Option<u16> {
     match table.quota_owner(tenant) {
         QuotaOwner::Local => Some(own),
         QuotaOwner::Split(_) => None,
@@ -64,8 +64,8 @@
     }
 }
 
-/// The homes of all tenants, if all nodes that are there agree on each.
-fn homes(size: u16, service_of: fn(u16) -> u16, lost: &[u16]) -> Vec<u16> {
+/// The owners of all tenants, if all nodes that are there agree on each.
+fn owners(size: u16, service_of: fn(u16) -> u16, lost: &[u16]) -> Vec<u16> {
     let there = (1..=size).filter(|number| !lost.contains(number));
     let tables: HashMap<u16, PeerTable> = there
         .map(|own| (own, table_of(own, size, service_of, lost)))
@@ -74,11 +74,11 @@
         let name = format!("tenant-{tenant}");
         let seen: HashSet<_> = tables
             .iter()
-            .map(|(own, table)| home_of(table, *own, &name))
+            .map(|(own, table)| owner_of(table, *own, &name))
             .collect();
         assert_eq!(seen.len(), 1, "{name}: {seen:?}");
-        let home = seen.into_iter().next().flatten();
-        home.expect("a home")
+        let owner = seen.into_iter().next().flatten();
+        owner.expect("an owner")
     });
     tenants.collect()
 }
@@ -98,16 +98,16 @@
 
 #[tokio::test]
 async fn all_nodes_agree_and_tenants_are_spread() {
-    let homes = homes(82, evenly, &[]);
-    let distinct: HashSet<_> = homes.iter().collect();
-    assert!(distinct.len() > 35, "{} homes", distinct.len());
+    let owners = owners(82, evenly, &[]);
+    let distinct: HashSet<_> = owners.iter().collect();
+    assert!(distinct.len() > 35, "{} owners", distinct.len());
 }
 
 #[tokio::test]
 async fn the_loss_of_nodes_moves_only_their_tenants() {
     let lost = [3, 17, 40];
-    let before = homes(82, evenly, &[]);
-    let after = homes(82, evenly, &lost);
+    let before = owners(82, evenly, &[]);
+    let after = owners(82, evenly, &lost);
     for (before, after) in before.iter().zip(&after) {
         assert!(!lost.contains(after));
         assert!(before == after || lost.contains(before));
@@ -115,14 +115,17 @@
 }
 
 #[tokio::test]
-async fn in_a_large_fleet_the_nodes_of_a_small_service_are_homes() {
-    let homes = homes(300, one_small, &[]);
-    assert!(homes.iter().all(|home| one_small(*home) == 0), "{homes:?}");
+async fn in_a_large_fleet_the_nodes_of_a_small_service_are_owners() {
+    let owners = owners(300, one_small, &[]);
+    assert!(
+        owners.iter().all(|owner| one_small(*owner) == 0),
+        "{owners:?}"
+    );
 }
 
 #[tokio::test]
 async fn where_no_service_is_small_each_node_keeps_a_part() {
     let table = table_of(1, 300, evenly, &[]);
-    let home = table.quota_owner("tenant-1");
-    assert!(matches!(home, QuotaOwner::Split(300)), "{home:?}");
+    let owner = table.quota_owner("tenant-1");
+    assert!(matches!(owner, QuotaOwner::Split(300)), "{owner:?}");
 }
--- a/crates/tallybridge-mesh/tests/wire_format.rs
+++ b/crates/tallybridge-mesh/tests/wire_format.rs
@@ -29,7 +29,7 @@
 
 fn spending() -> Vec<EpochSpending> {
     vec![EpochSpending {
-        life: 0x0102_0304,
+        epoch: 0x0102_0304,
         total: 0x0506_0708,
         age_ms: 0x090a,
         requests: vec![1, 0, 0x0203],
