--- a/crates/tallybridge-mesh/src/node/mod.rs
+++ b/crates/tallybridge-mesh/src/node/mod.rs
@@ -261,7 +261,7 @@
             configuration_confirmed: None,
             confirmed_by_store: None,
             read_at: None,
-            quota: QuotaTables::new(settings.tenants.slack(), BootInstant::now()),
+            quota: QuotaTables::new(settings.tenants.into(), BootInstant::now()),
             version_from_store: 0,
             watchers: WatcherTable::default(),
             called: HashMap::new(),
--- a/crates/tallybridge-mesh/src/tables/quotas/slack.rs
+++ b/crates/tallybridge-mesh/src/tables/quotas/slack.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::configuration::tenants::RateLimit;
+use crate::{configuration::tenants::RateLimit, settings::TenantSettings};
 
 /// Part of what is allowed beyond a limit with which a new owner's bucket begins. An owner may be replaced
 /// several times within a window, and for a moment two nodes may act as owner: a quarter covers three
@@ -28,6 +28,16 @@
     pub requests: f64,
 }
 
+impl From<TenantSettings> for QuotaSlack {
+    fn from(settings: TenantSettings) -> Self {
+        Self {
+            window: Duration::from_millis(settings.quota_window_ms),
+            overage: settings.quota_overage,
+            requests: settings.quota_slack.into(),
+        }
+    }
+}
+
 impl QuotaSlack {
     /// Tokens with which the bucket of a new owner begins.
     pub(super) fn first_level(self, limit: RateLimit) -> f64 {
--- a/crates/tallybridge-mesh/src/tasks/reload.rs
+++ b/crates/tallybridge-mesh/src/tasks/reload.rs
@@ -1,4 +1,6 @@
-//! Settings that change while the node runs, with a signal or silently.
+//! Settings that change while the node runs. They are read again at SIGHUP, and each second, as the platform
+//! may lay out a new file without a signal. What can't change while the node runs is named in the log
+//! ([`MeshSettings::fixed_differences`]).
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,8 +11,8 @@
     settings::{MeshSettings, SettingsError},
 };
 
-/// Time between looks at settings that may have changed silently.
-const LOOK: Duration = Duration::from_millis(1000);
+/// Time between reads of settings that may have changed without a signal. Origin not recorded.
+const READ_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// Where the settings come from.
 pub trait SettingsSource: Send + Sync + 'static {
@@ -22,31 +24,38 @@
     fn read(&self) -> Result<String, SettingsError>;
 }
 
-/// Takes in changed settings for as long as the process lives. Settings that can't be used are
-/// told of, and the last good ones stay in force.
+/// Applies changed settings for as long as the process lives. Settings that can't be used are logged, and the
+/// last good ones stay in force.
 pub async fn reload_settings(node: Arc<Node>, source: Arc<dyn SettingsSource>, mut hangup: Signal) {
-    let mut last = source.read().unwrap_or_default();
+    // No settings are empty, so that the next read that succeeds counts as a change.
+    let mut last = read(&*source).unwrap_or_default();
     loop {
         let signalled = tokio::select! {
             _ = hangup.recv() => true,
-            () = sleep(LOOK) => false,
+            () = sleep(READ_INTERVAL) => false,
         };
-        let text = match source.read() {
-            Ok(text) => text,
-            Err(error) => {
-                tracing::error!(%error, "settings can't be read, the last ones stay");
-                continue;
-            }
+        let Some(text) = read(&*source) else {
+            continue;
         };
         if text == last && !signalled {
             continue;
         }
-        take_in(&node, &text, signalled);
+        apply(&node, &text, signalled);
         last = text;
     }
 }
 
-fn take_in(node: &Node, text: &str, signalled: bool) {
+fn read(source: &dyn SettingsSource) -> Option<String> {
+    match source.read() {
+        Ok(text) => Some(text),
+        Err(error) => {
+            tracing::error!(%error, "settings can't be read, the last ones stay");
+            None
+        }
+    }
+}
+
+fn apply(node: &Node, text: &str, signalled: bool) {
     match MeshSettings::parse(text) {
         Ok(settings) => {
             let at_next_start = node.settings.fixed_differences(&settings);
