--- a/crates/tallybridge-mesh/src/node/configuration.rs
+++ b/crates/tallybridge-mesh/src/node/configuration.rs
@@ -1,14 +1,9 @@
-//! The configuration in force at a node.
+//! The configuration in force at a node, and how sure the node is that it is the newest.
+//!
+//! Confirmed and read are two grades of that; what each means and what it is good for stands in
+//! [`tasks::configuration`](crate::tasks::configuration).
 
-use std::{
-    cmp,
-    net::SocketAddr,
-    sync::{
-        Arc,
-        atomic::{AtomicBool, Ordering},
-    },
-    time::Duration,
-};
+use std::{cmp, net::SocketAddr, sync::Arc, time::Duration};
 
 use bytes::Bytes;
 use tokio::sync::watch;
@@ -16,6 +11,17 @@
 use super::{InForce, Node};
 use crate::{clock::BootInstant, configuration::Configuration, link::Link};
 
+/// A version that the store confirmed to be the newest.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Confirmed {
+    /// The version; 0 for none.
+    pub version: u64,
+    /// Time since the store was asked.
+    pub age: Duration,
+    /// When the store was asked for the configuration that was last read.
+    pub read_at: Option<BootInstant>,
+}
+
 impl Node {
     /// The configuration in force.
     #[must_use]
@@ -40,8 +46,8 @@
         configuration.is_some_and(|configuration| configuration.tenants.is_some())
     }
 
-    /// Takes a configuration into force if it is newer than the one that is; `false` when it can't
-    /// be read, so that the one in force may be older.
+    /// Takes a configuration into force if it is newer than the one that is; `false` when it can't be read,
+    /// so that the one in force may be older.
     pub fn offer_configuration(&self, document: &Bytes) -> bool {
         if self.configuration_document().as_ref() == Some(document) {
             return true;
@@ -71,30 +77,29 @@
         true
     }
 
-    /// The store told this node of the newest version, which is in force now.
-    pub fn store_has_told(&self) {
+    /// The store reported the newest version to this node, which has it in force now.
+    pub fn note_version_from_store(&self) {
         let mut tables = self.tables();
         tables.version_from_store = tables.version();
     }
 
-    /// Whether a peer told of a version that the store has not told this node of.
+    /// Whether a version is in force that came from a peer and that the store has not reported to this node.
     #[must_use]
     pub fn is_ahead_of_store(&self) -> bool {
         let tables = self.tables();
         tables.version() > tables.version_from_store
     }
 
-    /// The store confirmed to this node, which asked it at a time, that nothing newer is there.
+    /// The store, which this node asked at a time, confirmed that nothing newer is there.
     pub fn configuration_confirmed(&self, asked_at: BootInstant) {
         let mut tables = self.tables();
         tables.configuration_confirmed = tables.configuration_confirmed.max(Some(asked_at));
         tables.confirmed_by_store = Some(asked_at);
         drop(tables);
-        self.confirmations.send_modify(|epoch| *epoch += 1);
+        self.confirmations.send_modify(|count| *count += 1);
     }
 
-    /// This node read the newest configuration from the store, which it asked at a time, and has it
-    /// in force.
+    /// This node read the newest configuration from the store, which it asked at a time, and has it in force.
     pub fn configuration_read(&self, asked_at: BootInstant) {
         let mut tables = self.tables();
         tables.read_at = tables.read_at.max(Some(asked_at));
@@ -102,10 +107,11 @@
         self.configuration_confirmed(asked_at);
     }
 
-    /// The store confirmed the configuration of a peer that watches it. Where it is the one in force
-    /// here, that confirms it here as well; a newer one is asked for.
+    /// The store confirmed the configuration of a peer that watches it. Where it is the one in force here,
+    /// that confirms it here as well; a newer one is fetched.
     pub fn peer_confirmed(&self, peer: SocketAddr, confirmed: Confirmed) {
         let Some(asked_at) = BootInstant::now().checked_sub(confirmed.age) else {
+            // From before this machine's clock began: it confirms nothing.
             return;
         };
         let mut tables = self.tables();
@@ -141,71 +147,6 @@
         self.confirmations.subscribe()
     }
 
-    /// Waits until a peer has told of a newer configuration.
-    pub async fn peer_ahead(&self) {
-        self.peer_ahead.notified().await;
-    }
-
-    /// Who watches the store, as far as this node sees.
-    #[must_use]
-    pub fn watch_view(&self) -> WatchView {
-        let tables = self.tables();
-        WatchView {
-            known: tables.peers.known_size(),
-            wanted: tables.peers.subset_size() - 1,
-            reached: tables.peers.reached(),
-            confirming: tables
-                .watchers
-                .confirming(tables.version(), BootInstant::now()),
-        }
-    }
-
-    /// This node watches the store for as long as what is returned lives.
-    #[must_use]
-    pub fn watches(&self) -> WatcherRole<'_> {
-        self.is_watcher.store(true, Ordering::Relaxed);
-        self.became_watcher.notify_one();
-        WatcherRole(&self.is_watcher)
-    }
-
-    /// Whether this node watches the store.
-    #[must_use]
-    pub fn is_watcher(&self) -> bool {
-        self.is_watcher.load(Ordering::Relaxed)
-    }
-
-    /// Waits until this node begins to watch the store.
-    pub async fn became_watcher(&self) {
-        self.became_watcher.notified().await;
-    }
-
-    /// A watch waits for the store for as long as what is returned lives.
-    #[must_use]
-    pub fn watch_pending(&self) -> PendingWatch<'_> {
-        self.watch_pending.store(true, Ordering::Relaxed);
-        PendingWatch(&self.watch_pending)
-    }
-
-    /// The store answered something else that it was asked at a time: a watch that waits would have
-    /// told of a change.
-    pub fn confirm_by_pending_watch(&self, asked_at: BootInstant) {
-        if self.watch_pending.load(Ordering::Relaxed) {
-            self.configuration_confirmed(asked_at);
-        }
-    }
-
-    /// Something shows that the watch that waits, if there is one, may never be answered.
-    pub fn suspect_watch(&self) {
-        if self.watch_pending.load(Ordering::Relaxed) {
-            self.watch_suspected.notify_one();
-        }
-    }
-
-    /// Waits until the watch that waits is doubted.
-    pub async fn watch_suspected(&self) {
-        self.watch_suspected.notified().await;
-    }
-
     /// Whether the configuration was confirmed within a time.
     #[must_use]
     pub fn is_configuration_fresh(&self, within: Duration) -> bool {
@@ -213,6 +154,11 @@
         confirmed.is_some_and(|at| at.elapsed() <= within)
     }
 
+    /// Waits until a peer has reported a newer configuration.
+    pub async fn peer_ahead(&self) {
+        self.peer_ahead.notified().await;
+    }
+
     /// A linked node that has a newer configuration.
     #[must_use]
     pub fn peer_with_newer_configuration(&self) -> Option<Arc<Link>> {
@@ -220,47 +166,3 @@
         tables.peers.with_newer(tables.version())
     }
 }
-
-/// A version that the store confirmed to be the newest.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Confirmed {
-    /// The version; 0 for none.
-    pub version: u64,
-    /// Time since the store was asked.
-    pub age: Duration,
-    /// When the configuration was asked for that was last read from the store itself.
-    pub read_at: Option<BootInstant>,
-}
-
-/// Who watches the store, as a node sees it.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct WatchView {
-    /// Nodes that it knows of, itself included.
-    pub known: usize,
-    /// Nodes that it links to, or tries to.
-    pub wanted: usize,
-    /// Those of them that it reaches.
-    pub reached: usize,
-    /// Those of them to which the store confirmed its version, or a newer one, lately.
-    pub confirming: usize,
-}
-
-/// A node that watches the store.
-#[derive(Debug)]
-pub struct WatcherRole<'a>(&'a AtomicBool);
-
-impl Drop for WatcherRole<'_> {
-    fn drop(&mut self) {
-        self.0.store(false, Ordering::Relaxed);
-    }
-}
-
-/// A watch that waits for the store.
-#[derive(Debug)]
-pub struct PendingWatch<'a>(&'a AtomicBool);
-
-impl Drop for PendingWatch<'_> {
-    fn drop(&mut self) {
-        self.0.store(false, Ordering::Relaxed);
-    }
-}
--- a/crates/tallybridge-mesh/src/node/mod.rs
+++ b/crates/tallybridge-mesh/src/node/mod.rs
@@ -11,6 +11,7 @@
 mod retries;
 mod running;
 mod status;
+mod store_watch;
 
 use std::{
     collections::HashMap,
@@ -27,10 +28,11 @@
 
 use self::quotas::QuotaTables;
 pub use self::{
-    configuration::{Confirmed, PendingWatch, WatchView, WatcherRole},
+    configuration::Confirmed,
     lifecycle::RequestInFlight,
     quarantine::DispatchedCall,
     running::{NestedCall, RunningAttempt},
+    store_watch::{PendingWatch, WatchView, WatcherRole},
 };
 use crate::{
     clock::{self, BootInstant},
@@ -187,7 +189,7 @@
     became_watcher: tokio::sync::Notify,
     confirmations: watch::Sender<u64>,
     peer_ahead: tokio::sync::Notify,
-    has_read_register: AtomicBool,
+    has_read_registry: AtomicBool,
     call_broke: tokio::sync::Notify,
     quarantine_grew: tokio::sync::Notify,
     pauses: AtomicU64,
@@ -302,7 +304,7 @@
             became_watcher: tokio::sync::Notify::new(),
             confirmations: watch::Sender::new(0),
             peer_ahead: tokio::sync::Notify::new(),
-            has_read_register: AtomicBool::new(false),
+            has_read_registry: AtomicBool::new(false),
             call_broke: tokio::sync::Notify::new(),
             quarantine_grew: tokio::sync::Notify::new(),
             pauses: AtomicU64::new(clock::tick().count),
--- a/crates/tallybridge-mesh/src/node/peers.rs
+++ b/crates/tallybridge-mesh/src/node/peers.rs
@@ -53,7 +53,10 @@
 
     /// Takes in a list of nodes that a peer knows.
     pub fn learn_nodes(&self, nodes: &[u8]) {
-        let records: Vec<NodeRecord> = serde_json::from_slice(nodes).unwrap_or_default();
+        let records = serde_json::from_slice(nodes).unwrap_or_else(|error| {
+            tracing::warn!(%error, "a peer's list of nodes can't be read");
+            Vec::<NodeRecord>::new()
+        });
         self.learn_records(records);
     }
 
--- a/crates/tallybridge-mesh/src/node/registration.rs
+++ b/crates/tallybridge-mesh/src/node/registration.rs
@@ -1,4 +1,4 @@
-//! This node's entry in the register of nodes.
+//! This node's registration, and whether the registry of nodes was read.
 
 use std::sync::atomic::Ordering;
 
@@ -10,15 +10,15 @@
         self.record_changed.notified().await;
     }
 
-    /// The register was read: the nodes that were there are known.
-    pub fn register_read(&self) {
-        self.has_read_register.store(true, Ordering::Relaxed);
+    /// The registry was read: the nodes that were in it are known.
+    pub fn registry_read(&self) {
+        self.has_read_registry.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the register was read since the start.
+    /// Whether the registry was read since the start.
     #[must_use]
-    pub fn has_read_register(&self) -> bool {
-        self.has_read_register.load(Ordering::Relaxed)
+    pub fn has_read_registry(&self) -> bool {
+        self.has_read_registry.load(Ordering::Relaxed)
     }
 
     /// The node is registered under a lease.
--- a/crates/tallybridge-mesh/src/node/status.rs
+++ b/crates/tallybridge-mesh/src/node/status.rs
@@ -62,7 +62,7 @@
                 link.check(now, subset_size);
             }
             tables.adapt_shedding(&own);
-            tables.note_reached(self.has_read_register(), BootInstant::now());
+            tables.note_reached(self.has_read_registry(), BootInstant::now());
             self.set_isolated(tables.peers.is_isolated());
             tables.is_load_news(utilization, subset_size, now)
         };
--- a/crates/tallybridge-mesh/src/platform.rs
+++ b/crates/tallybridge-mesh/src/platform.rs
@@ -91,8 +91,8 @@
 /// The configuration as it lies in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredConfiguration {
-    /// The store's revision at the time of reading.
-    pub at: u64,
+    /// The store's revision at the time of reading: a watch goes on from there.
+    pub revision: u64,
     /// The document, if there is one.
     pub document: Option<Bytes>,
 }
@@ -100,8 +100,8 @@
 /// What a watch saw.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WatchedConfiguration {
-    /// Where the next watch goes on.
-    pub at: u64,
+    /// The store's revision up to which changes were seen: the next watch goes on from there.
+    pub revision: u64,
     /// The newest document that was written meanwhile.
     pub document: Option<Bytes>,
 }
@@ -160,5 +160,5 @@
     fn end_lease(&self, lease: u64) -> StoreFuture<'_, ()>;
 
     /// A page of the register, of the names after one. It may be seconds old.
-    fn registered<'a>(&'a self, after: &'a str) -> StoreFuture<'a, RegistryPage>;
+    fn registry_page<'a>(&'a self, after: &'a str) -> StoreFuture<'a, RegistryPage>;
 }
--- a/crates/tallybridge-mesh/src/tables/quotas/mod.rs
+++ b/crates/tallybridge-mesh/src/tables/quotas/mod.rs
@@ -20,9 +20,8 @@
 //! **Why.** Of three ways that were compared, one owner alone refuses nobody below the limit; equal parts
 //! and parts by demand refused up to 0.98 and 0.31 of such a tenant's requests. Owners change as nodes come
 //! and go, and a new one knows nothing of the buckets before it, so
-//! * it begins with few tokens ([`QuotaSlack::first_level`]) and bounds what the window holds
-//!   ([`QuotaSlack::most_in_window`]),
-//! * entries report to it what was granted before, by *epochs* of owners ([`FleetSpending`]), and for its
+//! * it begins with few tokens and bounds what the window holds (`slack.rs`),
+//! * entries report to it what was granted before, by *epochs* of owners (`epochs.rs`), and for its
 //!   first moments it gives nothing while earlier grants are known to exist,
 //! * a node that may have lost the role without knowing gives nothing ([`Ownership`]).
 //!
@@ -38,7 +37,6 @@
 //! [`QuotaAsk::spent`]: crate::protocol::QuotaAsk::spent
 //! [`QuotaAsk::fleet`]: crate::protocol::QuotaAsk::fleet
 //! [`QuotaGrant`]: crate::protocol::QuotaGrant
-//! [`FleetSpending`]: epochs::FleetSpending
 
 mod bucket;
 mod entry;
--- a/crates/tallybridge-mesh/src/tables/watchers.rs
+++ b/crates/tallybridge-mesh/src/tables/watchers.rs
@@ -1,14 +1,15 @@
-//! Which peers watch the store, and how lately it confirmed their configuration to them.
+//! Which peers watch the store, and when it last confirmed their configuration to them.
 //!
-//! In a large fleet a few nodes watch the store for all: see docs/PLATFORM.md.
+//! In a large fleet a few nodes watch the store for all; the rule stands in
+//! [`tasks::configuration`](crate::tasks::configuration).
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
 use crate::clock::BootInstant;
 
-/// Age up to which a confirmation of a peer counts. A watcher confirms every 500 ms, so that one
-/// confirmation may be lost, and what nobody confirms any more is asked for again well within the
-/// shortest time that users give a change to be in force, 2 s.
+/// Age up to which a confirmation of a peer counts. A watcher confirms every 500 ms, so one confirmation may
+/// be lost; and a node that nobody confirms any more watches itself well within the shortest time that users
+/// allow a change to be in force, 2 s.
 const CONFIRMED_WITHIN: Duration = Duration::from_millis(1200);
 
 /// What the store last confirmed to one peer.
@@ -24,7 +25,7 @@
 pub struct WatcherTable(HashMap<SocketAddr, Confirmation>);
 
 impl WatcherTable {
-    /// A peer tells that the store confirmed a version to it, which it had asked for at a time.
+    /// The store confirmed a version to a peer, which had asked it at a time.
     pub fn confirmed(&mut self, peer: SocketAddr, version: u64, asked_at: BootInstant) {
         let confirmation = Confirmation { version, asked_at };
         self.0.insert(peer, confirmation);
@@ -35,7 +36,7 @@
         self.0.remove(&peer);
     }
 
-    /// Peers to which the store confirmed a version, or a newer one, lately.
+    /// Peers to which the store confirmed a version, or a newer one, within 1.2 s.
     #[must_use]
     pub fn confirming(&self, version: u64, now: BootInstant) -> usize {
         let confirmations = self.0.values();
--- a/crates/tallybridge-mesh/src/tasks/backoff.rs
+++ b/crates/tallybridge-mesh/src/tasks/backoff.rs
@@ -1,4 +1,4 @@
-//! Waits between calls of the platform's store that failed, and the count of all calls.
+//! What the tasks share that call the platform's store: waits after a failure, and the count of calls.
 
 use std::{sync::atomic::Ordering, time::Duration};
 
@@ -7,10 +7,12 @@
 
 use crate::node::Node;
 
-/// Waits after a call that failed.
+/// Wait after the first call that failed. Origin not recorded.
 const RETRY_MIN: Duration = Duration::from_millis(150);
+/// Longest wait after a call that failed. Origin not recorded.
 const RETRY_MAX: Duration = Duration::from_millis(1200);
 
+/// Waits that double with each failure in a row, with a jitter of 0.6 to 1.4.
 pub(super) struct Backoff(Duration);
 
 impl Backoff {
@@ -25,6 +27,7 @@
     }
 }
 
-pub(super) fn count(node: &Node) {
+/// Counts a call to the store in the node's metrics; each caller does so before it calls.
+pub(super) fn count_store_call(node: &Node) {
     node.counters.store_calls.fetch_add(1, Ordering::Relaxed);
 }
--- a/crates/tallybridge-mesh/src/tasks/registration.rs
+++ b/crates/tallybridge-mesh/src/tasks/registration.rs
@@ -9,7 +9,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::{
-    backoff::{Backoff, count},
+    backoff::{Backoff, count_store_call},
     stored_quarantine::{HOLDS_PREFIX, StoredQuarantine},
 };
 use crate::{
@@ -117,7 +117,7 @@
 /// costs many times as much as a renewal.
 async fn renew(node: &Node, lease: u64) -> Result<(), StoreError> {
     loop {
-        count(node);
+        count_store_call(node);
         let asked_at = BootInstant::now();
         match node.platform.renew(lease).await {
             Ok(()) => {
@@ -137,7 +137,7 @@
 }
 
 async fn register_self(node: &Node, lease: Option<u64>) -> Result<u64, StoreError> {
-    count(node);
+    count_store_call(node);
     let name = register_name(&node.record.node);
     let registering = node
         .platform
@@ -174,7 +174,7 @@
             // Holds stand behind all nodes, out of reach of a look that ends before.
             read_register(node, HOLDS_PREFIX).await?;
         }
-        node.register_read();
+        node.registry_read();
         Ok(())
     }
 
@@ -194,8 +194,8 @@
     let mut has_turned = start.is_empty();
     let mut read = 0;
     loop {
-        count(node);
-        let page = node.platform.registered(&after).await?;
+        count_store_call(node);
+        let page = node.platform.registry_page(&after).await?;
         read += page.records.len();
         take_in(node, &page.records);
         match page.next_after {
@@ -244,7 +244,7 @@
 /// Ends the registration.
 pub async fn unregister(node: &Node) {
     if let Some(lease) = node.lease() {
-        count(node);
+        count_store_call(node);
         // The lease ends by itself if this fails.
         let _ = timeout(UNREGISTER, node.platform.end_lease(lease)).await;
     }
--- a/crates/tallybridge-mesh/src/tasks/stored_quarantine.rs
+++ b/crates/tallybridge-mesh/src/tasks/stored_quarantine.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::{sleep, timeout};
 
-use super::backoff::{Backoff, count};
+use super::backoff::{Backoff, count_store_call};
 use crate::{
     node::Node,
     platform::StoreError,
@@ -95,14 +95,14 @@
             if node.suspects_worth_keeping().is_empty() {
                 return Ok(());
             }
-            count(node);
+            count_store_call(node);
             node.platform.renew(lease).await?;
         }
     }
 }
 
 async fn store(node: &Node, held: &[QuarantinedRequest]) -> Result<u64, StoreError> {
-    count(node);
+    count_store_call(node);
     let name = format!("{HOLDS_PREFIX}held-{}", node.record.node);
     // Plain fields always have a JSON form.
     let entry = serde_json::to_vec(&StoredQuarantine::of(held)).unwrap_or_default();
