--- a/crates/tallybridge-mesh/src/tasks/mod.rs
+++ b/crates/tallybridge-mesh/src/tasks/mod.rs
@@ -7,5 +7,6 @@
 pub mod health;
 pub mod links;
 pub mod registration;
+mod registry;
 pub mod reload;
 pub mod stored_quarantine;
