--- a/crates/tallybridge-mesh/src/platform.rs
+++ b/crates/tallybridge-mesh/src/platform.rs
@@ -1,6 +1,10 @@
-//! What the platform is asked for. Its own names stay behind these types.
+//! The platform as the mesh sees it: names of headers, reports of back ends, the configuration and the registry
+//! in its store.
+//!
+//! [`Platform`] is filled by an adapter, which decodes each field of the wire once; the platform's own names
+//! stay behind these types. Times on the wire are milliseconds; here they are [`Duration`]s.
 
-use std::{net::SocketAddr, time::Duration};
+use std::time::Duration;
 
 use bytes::Bytes;
 use futures::future::BoxFuture;
@@ -12,23 +16,23 @@
 pub struct HeaderNames {
     /// Identity of one attempt of a caller.
     pub attempt: &'static str,
-    /// Milliseconds that the sender will wait.
+    /// Time that the sender will wait, in milliseconds.
     pub deadline_ms: &'static str,
     /// The instance that alone may run a request.
     pub expected_instance: &'static str,
-    /// Says that a back end has not run a request.
+    /// Set by a back end that has not run a request.
     pub not_run: &'static str,
     /// The service on whose machine a request began.
     pub caller_service: &'static str,
-    /// The instance that answers a health check, or turns away a request for another one.
+    /// The instance that answers a health check, or refuses a request for another one.
     pub instance: &'static str,
     /// The key of the tenant that a request is made for.
     pub credential: &'static str,
-    /// The tenant that a back end is told.
+    /// The tenant of a request, for back ends.
     pub tenant: &'static str,
 }
 
-/// What a back end says of itself.
+/// The state that a back end reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportedState {
     /// It takes work.
@@ -46,41 +50,39 @@
     pub born: Option<u64>,
     /// Its service, when the report says.
     pub service: Option<String>,
-    /// What it says.
+    /// Its state.
     pub state: ReportedState,
     /// Grows with each report; 0 when the report carries none.
     pub sequence: u64,
     /// Requests that it works on at once; 0 when the report carries none.
     pub slots: u32,
-    /// How much longer it is slow after its start.
+    /// How much longer it is slow after its start; zero when it is not, or does not say.
     pub cold: Duration,
-    /// Where it listens, when the report says.
-    pub address: Option<SocketAddr>,
 }
 
 /// A request at the addresses for readiness and reports.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ControlRequest {
-    /// Whether the node is ready.
+    /// A readiness probe.
     Readiness,
     /// A back end's report.
     Report(InstanceReport),
     /// A report that can't be read, with the reason.
     Malformed(String),
-    /// Nothing that is known.
+    /// None of these.
     Unknown,
 }
 
 /// Why the platform's store gave no result.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// The store did nothing and said so.
+    /// The store did nothing, or the call was never sent; with the reason.
     #[error("store refused: {0}")]
     Refused(String),
-    /// No answer: the call may have been done.
+    /// No answer, or one that can't be read: the call may have been done. With the reason.
     #[error("no answer from the store: {0}")]
     Unknown(String),
-    /// The changes that were asked for are forgotten.
+    /// A watch asked for changes that the store has forgotten.
     #[error("store's history is gone")]
     HistoryCompacted,
     /// The lease has ended.
@@ -88,7 +90,7 @@
     LeaseExpired,
 }
 
-/// The configuration as it lies in the store.
+/// The configuration in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredConfiguration {
     /// The store's revision at the time of reading: a watch goes on from there.
@@ -106,12 +108,12 @@
     pub document: Option<Bytes>,
 }
 
-/// A page of the register, in the order of the names.
+/// A page of the registry, in the order of the names.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RegistryPage {
-    /// Records of nodes.
+    /// Values of the entries.
     pub records: Vec<Bytes>,
-    /// The name after which the next page begins; `None` at the end of the register.
+    /// The name after which the next page begins; `None` at the end of the registry.
     pub next_after: Option<String>,
 }
 
@@ -143,8 +145,8 @@
         wait: Duration,
     ) -> StoreFuture<'_, WatchedConfiguration>;
 
-    /// Registers this node under a name, or what has changed of it, and gives the lease under which it did: the
-    /// one that is given, or a new one of `ttl`.
+    /// Writes an entry of the registry under a name, and gives the lease under which it lies: `lease`, or a new
+    /// one of `ttl` where none is given.
     fn register<'a>(
         &'a self,
         name: &'a str,
@@ -156,9 +158,9 @@
     /// Renews a lease.
     fn renew(&self, lease: u64) -> StoreFuture<'_, ()>;
 
-    /// Ends a lease, and with it the registration.
+    /// Ends a lease, and with it the entries under it.
     fn end_lease(&self, lease: u64) -> StoreFuture<'_, ()>;
 
-    /// A page of the register, of the names after one. It may be seconds old.
+    /// A page of the registry, of the names after one. It may be seconds old.
     fn registry_page<'a>(&'a self, after: &'a str) -> StoreFuture<'a, RegistryPage>;
 }
--- a/crates/tallybridge-mesh/src/settings/check.rs
+++ b/crates/tallybridge-mesh/src/settings/check.rs
@@ -5,7 +5,7 @@
 /// Least window of the retry bounds and of limits, in milliseconds. Origin not recorded.
 const LEAST_WINDOW_MS: u64 = 100;
 /// Least time for the revocation of a key, in milliseconds. Origin not recorded.
-const LEAST_REVOKE_MS: u64 = 1000;
+const LEAST_REVOCATION_MS: u64 = 1000;
 /// Least time between the order to stop and the kill, in milliseconds. Origin not recorded.
 const LEAST_STOP_GRACE_MS: u64 = 500;
 
@@ -76,7 +76,7 @@
     fn check(&self) -> Result<(), SettingsError> {
         require(
             self.revoke_within_ms
-                .is_none_or(|within| within >= LEAST_REVOKE_MS),
+                .is_none_or(|within| within >= LEAST_REVOCATION_MS),
             "tenants.revoke_within_ms",
             "is below 1000",
             "give the time in which a key that was taken away must stop working in milliseconds, \
--- a/crates/tallybridge-mesh/src/tasks/configuration/mod.rs
+++ b/crates/tallybridge-mesh/src/tasks/configuration/mod.rs
@@ -24,7 +24,7 @@
 //! **Why.** Each call to the store is paid for, and a change must be in force within two seconds. Watches of
 //! 25 s that are suspected when something else fails took 127 calls of twelve nodes on a calm day, asking
 //! anew every 4 s took 245; a few watchers took 278 calls of a large site, each node for itself 560. Ways
-//! weighed: docs/PLATFORM.md, "Ways weighed".
+//! weighed: docs/DESIGN.md, "Ways weighed".
 //!
 //! [`Node::offer_configuration`]: crate::node::Node::offer_configuration
 //! [`Node::suspect_watch`]: crate::node::Node::suspect_watch
--- a/crates/tallybridge-mesh/src/tasks/configuration/watchers.rs
+++ b/crates/tallybridge-mesh/src/tasks/configuration/watchers.rs
@@ -11,7 +11,7 @@
 //!
 //! **Why.** There is no election: a watcher that is killed, frozen, cut off or refused by the store is the
 //! same as one too few, so one rule covers the start, the loss of any watchers and a fleet cut in two. Leases
-//! and ranks lost since a holder that is cut off must first be found out (docs/PLATFORM.md, "Ways weighed").
+//! and ranks lost since a holder that is cut off must first be found out (docs/DESIGN.md, "Ways weighed").
 //!
 //! [`WatcherTable`]: crate::tables::WatcherTable
 
--- a/crates/tallybridge-mesh/src/tasks/registration.rs
+++ b/crates/tallybridge-mesh/src/tasks/registration.rs
@@ -7,8 +7,8 @@
 //!
 //! **Why.** Calls are paid for, and a new registration costs many times as much as a renewal: leases that are
 //! kept and reads that may be seconds old took a large site from 688 calls a day to 560. A lease that lapses
-//! takes no node out of service: peers judge each other by the contact on their links (docs/PLATFORM.md,
-//! "Finding each other").
+//! takes no node out of service: peers judge each other by the contact on their links (docs/DESIGN.md,
+//! "Registry").
 //!
 //! Reading the registry: `registry.rs`.
 
--- a/crates/tallybridge-mesh/tests/instance.rs
+++ b/crates/tallybridge-mesh/tests/instance.rs
@@ -51,7 +51,6 @@
         sequence,
         slots: 7,
         cold: Duration::ZERO,
-        address: None,
     }
 }
 
