--- a/crates/tallybridge-mesh/src/configuration/tenants.rs
+++ b/crates/tallybridge-mesh/src/configuration/tenants.rs
@@ -1,4 +1,7 @@
-//! Which tenant a key belongs to.
+//! Tenants: customers of the operator, with keys, a priority and a rate limit over the whole fleet.
+//!
+//! Keys are known and compared by their digests only. Which request a key admits:
+//! [`request::credentials`](crate::request); the rate limits: [`tables::quotas`](crate::tables::quotas).
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -7,8 +10,8 @@
 
 use sha2::{Digest, Sha256};
 
-/// Digest of a key (SHA-256). Keys are compared by their digests only, so the time of a comparison
-/// tells nothing of a key.
+/// Digest of a key (SHA-256). Keys are compared by their digests, so that the time of a comparison reveals
+/// nothing of a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyDigest([u8; 32]);
 
@@ -20,17 +23,17 @@
     }
 }
 
-/// What a tenant may ask of the whole fleet.
+/// How many requests of a tenant the whole fleet admits.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RateLimit {
     /// Requests a second.
     pub per_second: f64,
-    /// Requests on top of that, once they have not been asked for a while.
+    /// Requests on top of that after a time with fewer of them.
     pub burst: f64,
 }
 
-/// Where a tenant stands among the priorities that tenants of a configuration have. Where all have the
-/// same one, none goes before another, and the priority of the route alone decides.
+/// The rank of a tenant's priority among those that tenants of a configuration have. Where all have the same
+/// one, the priority of the route alone decides.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct TenantRank {
     /// Priorities that go before its own.
@@ -52,11 +55,11 @@
 /// A customer of the operator, with keys of its own.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Its name, which back ends are told.
+    /// Its name, which is passed on to back ends.
     pub name: Arc<str>,
     /// Its priority, which goes before that of a route; 0 is the most important.
     pub priority: u8,
-    /// Where that places it among the tenants of its configuration.
+    /// The rank of that among the tenants of its configuration.
     pub rank: TenantRank,
     /// Its limit; `None` for no limit.
     pub limit: Option<RateLimit>,
@@ -78,7 +81,7 @@
     }
 }
 
-/// Why tenants can't be taken as they are given. Keys themselves are never shown.
+/// Why tenants can't be used. Keys themselves are never shown.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum TenantError {
     /// A key has two owners.
--- a/crates/tallybridge-mesh/src/node/configuration.rs
+++ b/crates/tallybridge-mesh/src/node/configuration.rs
@@ -107,6 +107,21 @@
         self.configuration_confirmed(asked_at);
     }
 
+    /// Time since the store was asked for the newest configuration that was read, here or at a peer; `None`
+    /// if none was.
+    #[must_use]
+    pub fn read_age(&self) -> Option<Duration> {
+        self.tables().read_at.map(|at| at.elapsed())
+    }
+
+    /// A time on this node's clock, in milliseconds since its process began; at least 1. Peers date by it when
+    /// this node read the configuration.
+    #[must_use]
+    pub fn clock_ms(&self, at: BootInstant) -> u64 {
+        let elapsed = at.saturating_duration_since(self.began).as_millis();
+        u64::try_from(elapsed).unwrap_or(u64::MAX).max(1)
+    }
+
     /// The store confirmed the configuration of a peer that watches it. Where it is the one in force here,
     /// that confirms it here as well; a newer one is fetched.
     pub fn peer_confirmed(&self, peer: SocketAddr, confirmed: Confirmed) {
--- a/crates/tallybridge-mesh/src/node/quotas.rs
+++ b/crates/tallybridge-mesh/src/node/quotas.rs
@@ -1,4 +1,5 @@
-//! Tenants at a node: the age of the configuration by which their keys are honoured, and their rate limits.
+//! Rate limits of tenants at a node, which is their entry and may be their owner. The rule:
+//! [`tables::quotas`](crate::tables::quotas).
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,10 +14,6 @@
     },
 };
 
-/// Part of `revoke_within_ms` for which a node honours keys without the configuration being read anew. The
-/// rest covers the rounding of times that peers report. Origin of the figure not recorded.
-const REVOKE_PART: f64 = 0.85;
-
 /// Limits of tenants at one node, as an entry and as an owner.
 pub(super) struct QuotaTables {
     entry: EntryTokens,
@@ -63,31 +60,6 @@
 }
 
 impl Node {
-    /// A time on this node's clock, in milliseconds since its process began; at least 1.
-    #[must_use]
-    pub fn clock_ms(&self, at: BootInstant) -> u64 {
-        let elapsed = at.saturating_duration_since(self.began).as_millis();
-        u64::try_from(elapsed).unwrap_or(u64::MAX).max(1)
-    }
-
-    /// Whether the configuration is young enough that no key in it can have been removed for longer than
-    /// `revoke_within_ms`.
-    #[must_use]
-    pub fn knows_revocations(&self) -> bool {
-        let Some(within_ms) = self.settings.tenants.revoke_within_ms else {
-            return true;
-        };
-        let bound = Duration::from_millis(within_ms).mul_f64(REVOKE_PART);
-        self.read_age().is_some_and(|age| age <= bound)
-    }
-
-    /// Time since the store was asked for the newest configuration that was read, here or at a peer; `None`
-    /// if none was.
-    #[must_use]
-    pub fn read_age(&self) -> Option<Duration> {
-        self.tables().read_at.map(|at| at.elapsed())
-    }
-
     /// A request of a tenant has come to this entry: whether a token is there for it.
     #[must_use]
     pub fn take_held_token(&self, tenant: &Tenant) -> TokenAnswer {
--- a/crates/tallybridge-mesh/src/request/credentials.rs
+++ b/crates/tallybridge-mesh/src/request/credentials.rs
@@ -4,16 +4,17 @@
 //! configuration must be young enough to tell that the key was not removed.
 //!
 //! **Inputs.** The request's key; the configuration in force; the time since it was read from the store
-//! ([`Node::knows_revocations`]) and since it was confirmed ([`Node::is_configuration_fresh`]).
+//! ([`Node::read_age`]) and since it was confirmed ([`Node::is_configuration_fresh`]); `revoke_within_ms` of
+//! the settings, without which a configuration of any age is trusted.
 //!
 //! **Output.** The tenant, or a refusal: the configuration is stale (503), or the key is unknown (401; 503
 //! while it may just be new here).
 //!
 //! **Why.** A removed key must stop working everywhere within `revoke_within_ms`, also at nodes that are cut
-//! off. What a request says of its place in a chain of calls admits it nowhere: a name can be made up.
+//! off. Reads count and confirmations don't, as these rest on a watch that may be lost in silence. What a request says of its place in a chain of calls admits it nowhere: a name can be made up.
 //! What was weighed: `docs/design/quotas.md`.
 
-use std::sync::Arc;
+use std::{sync::Arc, time::Duration};
 
 use tallybridge_core::{ErrorKind, Refusal};
 
@@ -24,6 +25,10 @@
     node::Node,
 };
 
+/// Part of `revoke_within_ms` for which a node honours keys without the configuration being read anew. The
+/// rest covers the rounding of times that peers report. Origin of the figure not recorded.
+const REVOKE_PART: f64 = 0.85;
+
 /// The tenant whose key a request carries; `None` where none is needed.
 ///
 /// # Errors
@@ -41,7 +46,7 @@
     if route.is_public {
         return Ok(None);
     }
-    if !node.knows_revocations() {
+    if !knows_revocations(node) {
         let detail = "configuration is too old to tell whether a key is still good";
         let refusal = Refusal::new(ErrorKind::StaleConfiguration, detail);
         return Err(refusal.with_retry_after(RETRY_AFTER));
@@ -54,6 +59,16 @@
     holder.cloned().map(Some).ok_or_else(|| unknown_key(node))
 }
 
+/// Whether the configuration is young enough that no key in it can have been removed for longer than
+/// `revoke_within_ms`.
+fn knows_revocations(node: &Node) -> bool {
+    let Some(within_ms) = node.settings.tenants.revoke_within_ms else {
+        return true;
+    };
+    let bound = Duration::from_millis(within_ms).mul_f64(REVOKE_PART);
+    node.read_age().is_some_and(|age| age <= bound)
+}
+
 /// A key may be unknown because it is new: only a fresh configuration tells that nobody holds it.
 fn unknown_key(node: &Node) -> Refusal {
     let is_behind = node.peer_with_newer_configuration().is_some();
