--- a/crates/tallybridge-mesh/src/tasks/backoff.rs
+++ b/crates/tallybridge-mesh/src/tasks/backoff.rs
@@ -1,6 +1,6 @@
 //! What the tasks share that call the platform's store: waits after a failure, and the count of calls.
 
-use std::{sync::atomic::Ordering, time::Duration};
+use std::{ops::Range, sync::atomic::Ordering, time::Duration};
 
 use rand::Rng;
 use tokio::time::sleep;
@@ -12,7 +12,11 @@
 /// Longest wait after a call that failed. Origin not recorded.
 const RETRY_MAX: Duration = Duration::from_millis(1200);
 
-/// Waits that double with each failure in a row, with a jitter of 0.6 to 1.4.
+/// Factors by which a wait after a failure varies, so that nodes that failed together don't call again together.
+/// Origin not recorded.
+const JITTER: Range<f64> = 0.6..1.4;
+
+/// Waits that double with each failure in a row.
 pub(super) struct Backoff(Duration);
 
 impl Backoff {
@@ -21,12 +25,16 @@
     }
 
     pub(super) async fn wait(&mut self) {
-        let jitter = rand::rng().random_range(0.6..1.4);
-        sleep(self.0.mul_f64(jitter)).await;
+        sleep(jittered(self.0)).await;
         self.0 = (self.0 * 2).min(RETRY_MAX);
     }
 }
 
+/// A wait after a failure, varied by [`JITTER`].
+pub(super) fn jittered(wait: Duration) -> Duration {
+    wait.mul_f64(rand::rng().random_range(JITTER))
+}
+
 /// Counts a call to the store in the node's metrics; each caller does so before it calls.
 pub(super) fn count_store_call(node: &Node) {
     node.counters.store_calls.fetch_add(1, Ordering::Relaxed);
--- a/crates/tallybridge-mesh/src/tasks/registration.rs
+++ b/crates/tallybridge-mesh/src/tasks/registration.rs
@@ -18,7 +18,7 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 use super::{
-    backoff::{Backoff, count_store_call},
+    backoff::{Backoff, count_store_call, jittered},
     registry::{RegistryReader, registry_name},
 };
 use crate::{clock::BootInstant, node::Node, platform::StoreError};
@@ -137,8 +137,7 @@
             Err(reason) => {
                 tracing::warn!(%reason, "registration not renewed, it is tried again");
                 node.suspect_watch();
-                let jitter = rand::rng().random_range(0.6..1.4);
-                sleep(RENEWAL_RETRY.mul_f64(jitter)).await;
+                sleep(jittered(RENEWAL_RETRY)).await;
             }
         }
     }
