--- a/crates/tallybridge-mesh/tests/instance.rs
+++ b/crates/tallybridge-mesh/tests/instance.rs
@@ -50,7 +50,6 @@
         },
         sequence,
         slots: 7,
-        address: None,
     }
 }
 
