--- a/crates/tallybridge-mesh/src/request/execute/mod.rs
+++ b/crates/tallybridge-mesh/src/request/execute/mod.rs
@@ -96,7 +96,7 @@
 
 fn log_refusal(node: &Node, call: &CallMessage, refusal: &Refusal, arrived: BootInstant) {
     let facts = ExecutorFacts {
-        // A name that is no text is logged as none; the other facts still tell the call.
+        // A name that is not UTF-8 is logged as empty; the other facts stand.
         attempt: std::str::from_utf8(&call.attempt).unwrap_or_default(),
         load: node.load(),
         held: arrived.elapsed(),
@@ -167,7 +167,7 @@
         is_retry: call.is_retry,
     };
     // Dropped last: the recorder's drop looks the running call up.
-    let _running = node.attempt_runs(&call.attempt, parent);
+    let _running = node.begin_attempt(&call.attempt, parent);
     let dispatched = node.exposes_to(call, &incarnation);
     let outcome = OutcomeRecorder::new(node, &call.attempt, deadline);
     let (result, end) = run_at_back_end(node, call, &incarnation, deadline).await;
