--- a/crates/tallybridge-mesh/tests/shedding.rs
+++ b/crates/tallybridge-mesh/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Which fresh requests are let in while a service is full.
+//! Which fresh requests are admitted while a service is full.
 
 mod support;
 
@@ -7,14 +7,14 @@
 };
 
 use self::support::{
+    admission::{admitted, admitted_of, learn, loads, seen},
     overload::{ChainFleet, Demand},
     route,
-    shedding::{admitted, admitted_of, learn, seen, views},
 };
 
 #[test]
 fn a_tenant_that_goes_before_another_is_shed_after_it_whatever_the_routes() {
-    let mut shedding = AdmissionControl::default();
+    let mut admission = AdmissionControl::default();
     let payments = route("payments", "h", "/p/", 0, &[("ledger", 1)]);
     let reads = route("reads", "h", "/r/", 2, &[("ledger", 1)]);
     let first = TenantRank {
@@ -25,15 +25,15 @@
         before: 1,
         after: 0,
     };
-    let full = views(&[seen("ledger", (20, 20, 400), &[])]);
+    let full = loads(&[seen("ledger", (20, 20, 400), &[])]);
     for _ in 0..30 {
         for (route, rank) in [(&payments, second), (&reads, first)] {
-            admitted_of(&mut shedding, route, rank);
+            admitted_of(&mut admission, route, rank);
         }
-        shedding.adapt(&full);
+        admission.adapt(&full);
     }
-    let reads_of_first = admitted_of(&mut shedding, &reads, first);
-    let payments_of_second = admitted_of(&mut shedding, &payments, second);
+    let reads_of_first = admitted_of(&mut admission, &reads, first);
+    let payments_of_second = admitted_of(&mut admission, &payments, second);
     assert!(
         reads_of_first > payments_of_second,
         "{reads_of_first} and {payments_of_second}"
@@ -42,53 +42,53 @@
 }
 
 #[test]
-fn fresh_requests_are_shed_for_a_service_far_below_and_let_in_again() {
+fn fresh_requests_are_shed_for_a_service_far_below_and_admitted_again() {
     let lookup = route("lookup", "h", "/", 2, &[("top", 1)]);
-    let mut shedding = AdmissionControl::default();
-    assert_eq!(admitted(&mut shedding, &lookup), 1000);
-    learn(&mut shedding, &lookup, &[("top", 50), ("deep", 20)]);
-    let full = views(&[
+    let mut admission = AdmissionControl::default();
+    assert_eq!(admitted(&mut admission, &lookup), 1000);
+    learn(&mut admission, &lookup, &[("top", 50), ("deep", 20)]);
+    let full = loads(&[
         seen("top", (100, 10, 10), &["middle"]),
         seen("middle", (100, 20, 20), &["deep"]),
         seen("deep", (10, 20, 200), &[]),
     ]);
     for _ in 0..20 {
-        shedding.adapt(&full);
+        admission.adapt(&full);
     }
-    let while_full = admitted(&mut shedding, &lookup);
+    let while_full = admitted(&mut admission, &lookup);
     assert!((50..=350).contains(&while_full), "{while_full} of 1000");
-    let relieved = views(&[
+    let relieved = loads(&[
         seen("top", (100, 10, 10), &["middle"]),
         seen("middle", (100, 20, 20), &["deep"]),
         seen("deep", (10, 2, 20), &[]),
     ]);
     for _ in 0..20 {
-        shedding.adapt(&relieved);
+        admission.adapt(&relieved);
     }
-    assert_eq!(admitted(&mut shedding, &lookup), 1000);
-    assert_eq!(shedding.shed_routes().count(), 0);
+    assert_eq!(admitted(&mut admission, &lookup), 1000);
+    assert_eq!(admission.shed_routes().count(), 0);
 }
 
 #[test]
 fn a_route_that_calls_nobody_is_not_shed_for_what_is_full_below_its_service() {
     let download = route("download", "h", "/d/", 2, &[("top", 1)]);
     let lookup = route("lookup", "h", "/", 2, &[("top", 1)]);
-    let mut shedding = AdmissionControl::default();
-    learn(&mut shedding, &download, &[("top", 50)]);
-    learn(&mut shedding, &lookup, &[("top", 50), ("deep", 20)]);
-    let full = views(&[
+    let mut admission = AdmissionControl::default();
+    learn(&mut admission, &download, &[("top", 50)]);
+    learn(&mut admission, &lookup, &[("top", 50), ("deep", 20)]);
+    let full = loads(&[
         seen("top", (100, 10, 10), &["deep"]),
         seen("deep", (10, 20, 200), &[]),
     ]);
     for _ in 0..20 {
-        shedding.adapt(&full);
+        admission.adapt(&full);
     }
-    assert_eq!(admitted(&mut shedding, &download), 1000);
-    assert!(admitted(&mut shedding, &lookup) < 400);
-    learn(&mut shedding, &download, &[("top", 50), ("deep", 20)]);
-    shedding.adapt(&full);
+    assert_eq!(admitted(&mut admission, &download), 1000);
+    assert!(admitted(&mut admission, &lookup) < 400);
+    learn(&mut admission, &download, &[("top", 50), ("deep", 20)]);
+    admission.adapt(&full);
     assert!(
-        admitted(&mut shedding, &download) < 400,
+        admitted(&mut admission, &download) < 400,
         "it calls after all"
     );
 }
@@ -108,86 +108,86 @@
 fn of_one_priority_the_route_that_costs_the_full_service_more_is_shed_more() {
     let balance = route("balance", "h", "/b/", 2, &[("deep", 1)]);
     let lookup = route("lookup", "h", "/", 2, &[("top", 1)]);
-    let mut shedding = AdmissionControl::default();
-    learn(&mut shedding, &balance, &[("deep", 480)]);
-    learn(&mut shedding, &lookup, &[("top", 90), ("deep", 120)]);
-    let full = views(&[
+    let mut admission = AdmissionControl::default();
+    learn(&mut admission, &balance, &[("deep", 480)]);
+    learn(&mut admission, &lookup, &[("top", 90), ("deep", 120)]);
+    let full = loads(&[
         seen("top", (100, 10, 10), &["deep"]),
         seen("deep", (10, 12, 150), &[]),
     ]);
     for _ in 0..8 {
-        shedding.adapt(&full);
+        admission.adapt(&full);
     }
-    let costly = admitted(&mut shedding, &balance);
-    let cheap = admitted(&mut shedding, &lookup);
+    let costly = admitted(&mut admission, &balance);
+    let cheap = admitted(&mut admission, &lookup);
     assert!(costly * 3 < cheap * 2, "{costly} and {cheap} of 1000");
     assert!(costly * 3 > cheap, "it does not starve: {costly}, {cheap}");
 }
 
 #[test]
-fn hardly_anything_is_let_in_while_a_needed_service_has_no_back_end() {
+fn hardly_anything_is_admitted_while_a_needed_service_has_no_back_end() {
     let lookup = route("lookup", "h", "/", 2, &[("top", 1)]);
-    let mut shedding = AdmissionControl::default();
-    learn(&mut shedding, &lookup, &[("top", 50), ("deep", 20)]);
-    shedding.adapt(&views(&[
+    let mut admission = AdmissionControl::default();
+    learn(&mut admission, &lookup, &[("top", 50), ("deep", 20)]);
+    admission.adapt(&loads(&[
         seen("top", (100, 10, 10), &["deep"]),
         seen("deep", (0, 0, 0), &[]),
     ]));
-    assert!(admitted(&mut shedding, &lookup) <= 30);
+    assert!(admitted(&mut admission, &lookup) <= 30);
 }
 
 #[test]
 fn a_node_that_has_just_started_lets_all_in_once_it_knows_a_back_end() {
     let lookup = route("lookup", "h", "/", 2, &[("top", 1)]);
-    let mut shedding = AdmissionControl::default();
-    let unknown = views(&[seen("top", (0, 0, 0), &[])]);
-    let idle = views(&[seen("top", (100, 10, 10), &[])]);
-    admitted(&mut shedding, &lookup);
-    shedding.adapt(&unknown);
-    shedding.adapt(&idle);
-    assert_eq!(admitted(&mut shedding, &lookup), 1000);
+    let mut admission = AdmissionControl::default();
+    let unknown = loads(&[seen("top", (0, 0, 0), &[])]);
+    let idle = loads(&[seen("top", (100, 10, 10), &[])]);
+    admitted(&mut admission, &lookup);
+    admission.adapt(&unknown);
+    admission.adapt(&idle);
+    assert_eq!(admitted(&mut admission, &lookup), 1000);
     // After an outage calls come back little by little, within a second.
-    shedding.adapt(&unknown);
-    shedding.adapt(&idle);
-    assert!(admitted(&mut shedding, &lookup) < 500);
+    admission.adapt(&unknown);
+    admission.adapt(&idle);
+    assert!(admitted(&mut admission, &lookup) < 500);
     for _ in 0..10 {
-        shedding.adapt(&idle);
+        admission.adapt(&idle);
     }
-    assert_eq!(admitted(&mut shedding, &lookup), 1000);
+    assert_eq!(admitted(&mut admission, &lookup), 1000);
 }
 
 #[test]
 fn with_its_switch_off_nothing_is_shed() {
     let lookup = route("lookup", "h", "/", 2, &[("top", 1)]);
-    let mut shedding = AdmissionControl::new(PolicySettings {
+    let mut admission = AdmissionControl::new(PolicySettings {
         shed_at_entry: false,
         ..PolicySettings::default()
     });
-    learn(&mut shedding, &lookup, &[("top", 50), ("deep", 20)]);
+    learn(&mut admission, &lookup, &[("top", 50), ("deep", 20)]);
     for _ in 0..20 {
-        shedding.adapt(&views(&[
+        admission.adapt(&loads(&[
             seen("top", (100, 10, 10), &["deep"]),
             seen("deep", (10, 20, 200), &[]),
         ]));
     }
-    assert_eq!(admitted(&mut shedding, &lookup), 1000);
+    assert_eq!(admitted(&mut admission, &lookup), 1000);
 }
 
 #[test]
 fn with_costs_switched_off_a_download_is_shed_for_what_is_full_below() {
     let download = route("download", "h", "/d/", 2, &[("top", 1)]);
-    let mut shedding = AdmissionControl::new(PolicySettings {
+    let mut admission = AdmissionControl::new(PolicySettings {
         shed_by_cost: false,
         ..PolicySettings::default()
     });
-    learn(&mut shedding, &download, &[("top", 50)]);
+    learn(&mut admission, &download, &[("top", 50)]);
     for _ in 0..20 {
-        shedding.adapt(&views(&[
+        admission.adapt(&loads(&[
             seen("top", (100, 10, 10), &["deep"]),
             seen("deep", (10, 20, 200), &[]),
         ]));
     }
-    assert!(admitted(&mut shedding, &download) < 400);
+    assert!(admitted(&mut admission, &download) < 400);
 }
 
 /// Payments that need eight lookups, histories that need four, and direct lookups: what the deepest
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn what_is_let_in_does_not_swing_while_demand_is_steady() {
+fn what_is_admitted_does_not_swing_while_demand_is_steady() {
     let demands = demands();
     let needed: f64 = demands.iter().map(|demand| demand.slots("deep")).sum();
     let mut fleet = ChainFleet::new(&demands, needed * 0.4);
--- a/crates/tallybridge-mesh/tests/recovery.rs
+++ b/crates/tallybridge-mesh/tests/recovery.rs
@@ -5,7 +5,7 @@
 //! fail, none is refused", where 0.15 of them were served and the rest refused before. What a read
 //! costs the deepest service was learned from its first four answers, also if these were failures;
 //! a chain that fails since its last call is turned away never tells of the service that turned it
-//! away. So reads counted as costing it nothing, were let in whole, failed, and nothing that could
+//! away. So reads counted as costing it nothing, were admitted whole, failed, and nothing that could
 //! teach better was ever answered.
 
 mod support;
--- a/crates/tallybridge-mesh/tests/support/shedding.rs
+++ b/crates/tallybridge-mesh/tests/support/admission.rs
@@ -1,4 +1,4 @@
-//! What services look like to the table that sheds, and what its answers teach it.
+//! Load of services as admission sees it, and answers from which it learns.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,7 +9,7 @@
     tables::{AdmissionControl, ServiceLoads},
 };
 
-/// What one service is told to look like.
+/// The load that one service reports.
 pub struct Seen {
     pub service: &'static str,
     pub limit: u16,
@@ -30,10 +30,10 @@
     }
 }
 
-pub fn views(services: &[Seen]) -> ServiceLoads {
-    let mut views = ServiceLoads::default();
+pub fn loads(services: &[Seen]) -> ServiceLoads {
+    let mut loads = ServiceLoads::default();
     for seen in services {
-        let told = PeerStatus {
+        let status = PeerStatus {
             backend: BackendState::Ready,
             load: Load {
                 limit: seen.limit,
@@ -44,19 +44,19 @@
             calls: seen.called.iter().map(|name| Arc::from(*name)).collect(),
             ..PeerStatus::default()
         };
-        views.add(&Arc::from(seen.service), &told, seen.limit > 0);
+        loads.add(&Arc::from(seen.service), &status, seen.limit > 0);
     }
-    views
+    loads
 }
 
-pub fn admitted(shedding: &mut AdmissionControl, route: &Route) -> usize {
-    admitted_of(shedding, route, rank())
+pub fn admitted(admission: &mut AdmissionControl, route: &Route) -> usize {
+    admitted_of(admission, route, rank())
 }
 
-pub fn admitted_of(shedding: &mut AdmissionControl, route: &Route, rank: TenantRank) -> usize {
+pub fn admitted_of(admission: &mut AdmissionControl, route: &Route, rank: TenantRank) -> usize {
     let service = route.parts[0].service.clone();
     (0..1000)
-        .filter(|_| shedding.admits(route, &service, rank))
+        .filter(|_| admission.admits(route, &service, rank))
         .count()
 }
 
@@ -66,31 +66,36 @@
 }
 
 /// Ten answers of a route that cost each service the given milliseconds.
-pub fn learn(shedding: &mut AdmissionControl, route: &Route, costs: &[(&str, u64)]) {
+pub fn learn(admission: &mut AdmissionControl, route: &Route, costs: &[(&str, u64)]) {
     let mut times = SlotTimes::default();
     for (service, held_ms) in costs {
         times.add(&Arc::from(*service), Duration::from_millis(*held_ms));
     }
-    admitted(shedding, route);
+    admitted(admission, route);
     for _ in 0..10 {
-        shedding.answered(route, rank(), true, &times);
+        admission.answered(route, rank(), true, &times);
     }
 }
 
 /// Answers of a route that are failures, after which it was known to cost this much at the least.
-pub fn fail(shedding: &mut AdmissionControl, route: &Route, answers: usize, costs: &[(&str, u64)]) {
+pub fn fail(
+    admission: &mut AdmissionControl,
+    route: &Route,
+    answers: usize,
+    costs: &[(&str, u64)],
+) {
     let mut times = SlotTimes::default();
     for (service, held_ms) in costs {
         times.add(&Arc::from(*service), Duration::from_millis(*held_ms));
     }
     for _ in 0..answers {
-        shedding.answered(route, rank(), false, &times);
+        admission.answered(route, rank(), false, &times);
     }
 }
 
 /// A deep service that is asked for three times what it can do.
 pub fn full_below() -> ServiceLoads {
-    views(&[
+    loads(&[
         seen("top", (100, 10, 10), &["deep"]),
         seen("deep", (10, 50, 300), &[]),
     ])
--- a/crates/tallybridge-mesh/tests/support/chain/mod.rs
+++ b/crates/tallybridge-mesh/tests/support/chain/mod.rs
@@ -168,13 +168,13 @@
     }
 
     fn tick(&self) {
-        let mut views = ServiceLoads::default();
+        let mut loads = ServiceLoads::default();
         for node in self.nodes.iter() {
             let name = &self.plan.services[node.service].name;
-            views.add(name, &node.status(&self.plan), node.takes_work());
+            loads.add(name, &node.status(&self.plan), node.takes_work());
         }
         for node in self.nodes.iter() {
-            node.tick(&views);
+            node.tick(&loads);
         }
     }
 }
--- a/crates/tallybridge-mesh/tests/support/chain/node.rs
+++ b/crates/tallybridge-mesh/tests/support/chain/node.rs
@@ -25,7 +25,7 @@
 
 #[derive(Debug)]
 struct NodeState {
-    shedding: AdmissionControl,
+    admission: AdmissionControl,
     running: RunningAttempts,
     called: HashSet<usize>,
     is_there: bool,
@@ -40,7 +40,7 @@
 pub struct ChainNode {
     pub service: usize,
     slots: u32,
-    work: BackendSlots,
+    backend_slots: BackendSlots,
     cold: Duration,
     state: Mutex<NodeState>,
 }
@@ -55,15 +55,15 @@
         });
         of_service
             .map(|(index, service, place, speed)| {
-                let work = BackendSlots::default();
-                work.set_slots(service.slots);
+                let backend_slots = BackendSlots::default();
+                backend_slots.set_slots(service.slots);
                 Arc::new(Self {
                     service: index,
                     slots: service.slots,
-                    work,
+                    backend_slots,
                     cold: plan.cold,
                     state: Mutex::new(NodeState {
-                        shedding: AdmissionControl::default(),
+                        admission: AdmissionControl::default(),
                         running: RunningAttempts::default(),
                         called: HashSet::new(),
                         is_there: place < service.left,
@@ -78,16 +78,16 @@
 
     /// The node that starts in the place of this one, beside the same back end.
     pub fn begin_anew(&self) -> Self {
-        let work = BackendSlots::default();
-        work.set_slots(self.slots);
+        let backend_slots = BackendSlots::default();
+        backend_slots.set_slots(self.slots);
         let state = self.state();
         Self {
             service: self.service,
             slots: self.slots,
-            work,
+            backend_slots,
             cold: self.cold,
             state: Mutex::new(NodeState {
-                shedding: AdmissionControl::default(),
+                admission: AdmissionControl::default(),
                 running: RunningAttempts::default(),
                 called: HashSet::new(),
                 ..*state
@@ -117,7 +117,7 @@
     }
 
     pub fn utilization(&self) -> f64 {
-        self.work.load().utilization(0)
+        self.backend_slots.load().utilization(0)
     }
 
     /// Time that some work takes now.
@@ -135,7 +135,7 @@
         criticality: Criticality,
         wait_until: Instant,
     ) -> Result<Slot, NoSlot> {
-        self.work.slot(criticality, wait_until).await
+        self.backend_slots.slot(criticality, wait_until).await
     }
 
     /// What the node tells of itself.
@@ -147,7 +147,7 @@
                 true => BackendState::Ready,
                 false => BackendState::Unavailable,
             },
-            load: self.work.load(),
+            load: self.backend_slots.load(),
             calls: state
                 .called
                 .iter()
@@ -157,21 +157,21 @@
         }
     }
 
-    pub fn tick(&self, views: &ServiceLoads) {
-        self.work.tick();
-        self.state().shedding.adapt(views);
+    pub fn tick(&self, loads: &ServiceLoads) {
+        self.backend_slots.tick();
+        self.state().admission.adapt(loads);
     }
 
     pub fn admits(&self, route: &Route, service: &Arc<str>) -> bool {
-        self.state().shedding.admits(route, service, rank())
+        self.state().admission.admits(route, service, rank())
     }
 
     pub fn answered(&self, route: &Route, well: bool, times: &SlotTimes) {
-        self.state().shedding.answered(route, rank(), well, times);
+        self.state().admission.answered(route, rank(), well, times);
     }
 
     pub fn unanswered(&self, route: &Route) {
-        self.state().shedding.unanswered(route, rank());
+        self.state().admission.unanswered(route, rank());
     }
 
     pub fn begin(&self, name: &str, parent: Parent) -> RunningCall<'_> {
@@ -204,7 +204,7 @@
 
     /// Mean time that calls are with the back end.
     pub fn call_time(&self) -> Duration {
-        Duration::from_millis(self.work.load().service_ms.into())
+        Duration::from_millis(self.backend_slots.load().service_ms.into())
     }
 }
 
--- a/crates/tallybridge-mesh/tests/support/mod.rs
+++ b/crates/tallybridge-mesh/tests/support/mod.rs
@@ -2,9 +2,9 @@
 
 #![allow(dead_code)]
 
+pub mod admission;
 pub mod chain;
 pub mod overload;
-pub mod shedding;
 
 use std::{sync::atomic::AtomicU64, time::Duration};
 
--- a/crates/tallybridge-mesh/tests/support/overload.rs
+++ b/crates/tallybridge-mesh/tests/support/overload.rs
@@ -1,6 +1,6 @@
 //! A chain with a deepest service that can do a part of what is asked, in steps of 100 ms.
 //!
-//! One entry stands for all: they see the same load and decide alike. Requests that are let in
+//! One entry stands for all: they see the same load and decide alike. Requests that are admitted
 //! reach the deepest service over the next 0.3 to 0.9 s; it works on what it can, queues up to four
 //! times its slots and turns the rest away. A request of which part was turned away is lost, and
 //! the work done for it wasted.
@@ -76,8 +76,8 @@
 pub struct ChainFleet<'a> {
     demands: &'a [Demand],
     slots: f64,
-    shedding: AdmissionControl,
-    /// Requests let in by route, the newest first.
+    admission: AdmissionControl,
+    /// Requests admitted by route, the newest first.
     admitted: VecDeque<Vec<f64>>,
     due: Vec<f64>,
     queued: f64,
@@ -87,18 +87,18 @@
 impl<'a> ChainFleet<'a> {
     /// A chain whose deepest service has so many slots.
     pub fn new(demands: &'a [Demand], slots: f64) -> Self {
-        let mut shedding = AdmissionControl::default();
+        let mut admission = AdmissionControl::default();
         for demand in demands {
             let service = demand.route.parts[0].service.clone();
-            shedding.admits(&demand.route, &service, TenantRank::default());
+            admission.admits(&demand.route, &service, TenantRank::default());
             for _ in 0..10 {
-                shedding.answered(&demand.route, TenantRank::default(), true, &demand.costs);
+                admission.answered(&demand.route, TenantRank::default(), true, &demand.costs);
             }
         }
         Self {
             demands,
             slots,
-            shedding,
+            admission,
             admitted: VecDeque::new(),
             due: vec![0.0; demands.len()],
             queued: 0.0,
@@ -134,7 +134,7 @@
             wasted += done * (1.0 - whole / kept.max(0.01));
             // Arrivals are counted over some 300 ms.
             self.offered += (work / can_do - self.offered) * 0.28;
-            self.shedding.adapt(&self.views());
+            self.admission.adapt(&self.loads());
         }
         let seconds = steps as f64 * STEP_SECONDS;
         let came = |demand: &Demand| demand.per_second * seconds;
@@ -159,7 +159,7 @@
             while *due >= 1.0 {
                 *due -= 1.0;
                 if self
-                    .shedding
+                    .admission
                     .admits(&demand.route, service, TenantRank::default())
                 {
                     count += 1.0;
@@ -188,7 +188,7 @@
             .sum()
     }
 
-    fn views(&self) -> ServiceLoads {
+    fn loads(&self) -> ServiceLoads {
         let running = self.slots.min(self.offered * self.slots);
         let waiting = self.queued / CALL_SECONDS;
         // Whole numbers stand for a hundredth of a slot, as few slots are left.
@@ -203,7 +203,7 @@
             limit: WIDE,
             ..Load::default()
         };
-        let mut views = ServiceLoads::default();
+        let mut loads = ServiceLoads::default();
         for (service, load, called) in [("top", top, Some("deep")), ("deep", deep, None)] {
             let status = PeerStatus {
                 backend: BackendState::Ready,
@@ -211,8 +211,8 @@
                 calls: called.into_iter().map(Arc::from).collect(),
                 ..PeerStatus::default()
             };
-            views.add(&Arc::from(service), &status, true);
+            loads.add(&Arc::from(service), &status, true);
         }
-        views
+        loads
     }
 }
