--- a/crates/tallybridge-limits/src/queue/settings.rs
+++ b/crates/tallybridge-limits/src/queue/settings.rs
@@ -20,7 +20,7 @@
 /// The target is less than half of the deadline, so that a call that is not shed can still be
 /// answered. The interval is long: at a load of exactly the capacity a queue is seldom empty, and
 /// what is shed from it is missed a moment later. Goodput with these bounds is measured in
-/// docs/MEASUREMENTS.md. Origin of the capacity not recorded.
+/// docs/standalone/MEASUREMENTS.md. Origin of the capacity not recorded.
 impl Default for QueueSettings {
     fn default() -> Self {
         Self {
--- a/crates/tallybridge-mesh/src/tables/admission/costs.rs
+++ b/crates/tallybridge-mesh/src/tables/admission/costs.rs
@@ -10,7 +10,7 @@
 //!
 //! **Why.** A route is shed only for services that its requests use. When failures could also lower
 //! costs, a loss of all nodes into an overload taught entries that a route needs nothing but its own
-//! service, and it was admitted whole for as long as the deep service stayed full
+//! service, and all its requests were admitted for as long as the deep service stayed full
 //! ([incident](../../../../../docs/incidents/feira-recover-unlearned-costs.md)).
 
 use std::{collections::HashMap, sync::Arc};
@@ -112,7 +112,7 @@
     }
 
     /// Applies also once costs are known: otherwise a route that fails for a service that no answer
-    /// has named would be admitted whole for as long as that service is full.
+    /// has named would be admitted in full for as long as that service has no room.
     fn raise(&mut self, times: &SlotTimes) {
         for time in times.iter() {
             let least = time.held.as_secs_f64();
--- a/crates/tallybridge-mesh/src/tables/admission/mod.rs
+++ b/crates/tallybridge-mesh/src/tables/admission/mod.rs
@@ -23,7 +23,7 @@
 //! Thresholds by priority with least shares for each were replaced, since urgent requests took all of
 //! a service that had lost most of its back ends. Following the fullness of a service was replaced
 //! too: it trails what was admitted by up to a second, so shares swung
-//! ([PLATFORM.md](../../../../../docs/PLATFORM.md), "Ways weighed";
+//! ([DESIGN.md](../../../../../docs/DESIGN.md), "Ways weighed";
 //! [DECISIONS.md](../../../../../docs/DECISIONS.md), rounds 1a and 1b).
 //!
 //! **Constants** stand with the part that uses them: `level.rs`, `weights.rs`, `costs.rs` and `route.rs`.
--- a/crates/tallybridge-mesh/src/tables/admission/route.rs
+++ b/crates/tallybridge-mesh/src/tables/admission/route.rs
@@ -60,7 +60,7 @@
 }
 
 impl RouteAdmission {
-    /// A route that is admitted whole, for tenants with so many priorities of tenants after theirs.
+    /// A route all requests of which are admitted, for tenants with so many priorities after theirs.
     pub(super) fn new(service: &Arc<str>, priority: u8, tenants_after: u8) -> Self {
         Self {
             service: service.clone(),
--- a/crates/tallybridge-mesh/src/tables/admission/weights.rs
+++ b/crates/tallybridge-mesh/src/tables/admission/weights.rs
@@ -14,7 +14,7 @@
 
 /// Weight by priority, the most urgent first.
 ///
-/// At 3 the most urgent requests are admitted whole until two thirds of the least urgent ones are
+/// At 3 the most urgent requests are all admitted until two thirds of the least urgent ones are
 /// shed. A weight of 4 was within noise on the users' days, and at a third of the deepest service the
 /// simulated chain served 0.22 of all requests instead of the 0.25 required (docs/DECISIONS.md,
 /// round 1d). 1.74 equals 3 x [`LEAST_COST_WEIGHT`], so that no costly request falls behind a cheap one of
