--- a/crates/tallybridge-mesh/src/tables/backend/slots/held.rs
+++ b/crates/tallybridge-mesh/src/tables/backend/slots/held.rs
@@ -10,7 +10,7 @@
 
 use super::{
     BackendSlots, NoSlot,
-    table::{Grant, Queued},
+    waiting::{Grant, Queued},
 };
 
 /// A slot that is held; dropping it gives it back.
@@ -108,6 +108,6 @@
         if !self.is_answered {
             self.return_unused();
         }
-        self.slots.table().leave_queue(self.waiter, self.ticket);
+        self.slots.table().waiting.leave(self.waiter, self.ticket);
     }
 }
--- a/crates/tallybridge-mesh/src/tables/backend/slots/mod.rs
+++ b/crates/tallybridge-mesh/src/tables/backend/slots/mod.rs
@@ -19,6 +19,7 @@
 mod held;
 mod service_time;
 mod table;
+mod waiting;
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -80,7 +81,7 @@
         if now + table.expected_wait(criticality) >= wait_until {
             return Err(NoSlot::Full);
         }
-        let queued = table.enqueue(criticality, wait_until, now)?;
+        let queued = table.waiting.enqueue(criticality, wait_until, now)?;
         Ok(Arrival::Queued(QueuePlace::new(self.clone(), queued)))
     }
 
--- a/crates/tallybridge-mesh/src/tables/backend/slots/table.rs
+++ b/crates/tallybridge-mesh/src/tables/backend/slots/table.rs
@@ -1,14 +1,13 @@
-//! State of the slots: how many are taken, who waits, and what is measured of the calls.
+//! State of the slots: how many are taken, which calls wait, and what is measured of them.
 
-use std::{collections::HashMap, time::Duration};
+use std::time::Duration;
 
 use tallybridge_core::Criticality;
-use tallybridge_limits::{AdmissionQueue, Offer, QueueSettings, Ticket, Waiting};
-use tokio::{sync::oneshot, time::Instant};
+use tokio::time::Instant;
 
 use super::{
-    NoSlot,
     service_time::{ServiceTime, move_towards},
+    waiting::WaitingCalls,
 };
 use crate::{
     protocol::Load,
@@ -18,21 +17,9 @@
 /// Slots that a back end is taken to have while neither it nor another of its service has reported
 /// any. Origin of the figure not recorded.
 pub(super) const FIRST_SLOTS: u32 = 16;
-/// Calls that may wait, for each slot. Origin not recorded.
-const QUEUE_PER_SLOT: usize = 4;
 /// Weight of the newest call in the mean time that calls wait. Origin not recorded.
 const WAIT_GAIN: f64 = 0.1;
 
-/// A granted slot, or why there is none.
-pub(super) type Grant = Result<(), NoSlot>;
-
-/// A call that was put into the queue.
-pub(super) struct Queued {
-    pub(super) ticket: Ticket,
-    pub(super) waiter: u64,
-    pub(super) grant: oneshot::Receiver<Grant>,
-}
-
 #[derive(Debug)]
 pub(super) struct SlotTable {
     slots: u32,
@@ -40,10 +27,7 @@
     /// Slots that are used: `floor(slots x share)`, at least 1.
     limit: u16,
     in_flight: u16,
-    queue: AdmissionQueue<u64>,
-    /// Calls in the queue, by the number that the queue knows them by.
-    waiting: HashMap<u64, oneshot::Sender<Grant>>,
-    next_waiter: u64,
+    pub(super) waiting: WaitingCalls,
     service_time: ServiceTime,
     wait_seconds: f64,
     offered: OfferedLoad,
@@ -57,9 +41,7 @@
             limit: usable(FIRST_SLOTS, share.share()),
             share,
             in_flight: 0,
-            queue: queue_for(FIRST_SLOTS),
-            waiting: HashMap::new(),
-            next_waiter: 0,
+            waiting: WaitingCalls::new(FIRST_SLOTS),
             service_time: ServiceTime::default(),
             wait_seconds: 0.0,
             offered: OfferedLoad::default(),
@@ -67,13 +49,6 @@
     }
 }
 
-fn queue_for(slots: u32) -> AdmissionQueue<u64> {
-    AdmissionQueue::new(QueueSettings {
-        capacity: slots as usize * QUEUE_PER_SLOT,
-        ..QueueSettings::default()
-    })
-}
-
 /// Slots that are used of some at a share, 0 to 1.
 fn usable(slots: u32, share: f64) -> u16 {
     let used = (f64::from(slots) * share).floor() as u16;
@@ -88,7 +63,7 @@
 
     /// Takes a slot if one is free and nobody waits for it.
     pub(super) fn take_free_slot(&mut self) -> bool {
-        let is_free = self.in_flight < self.limit && self.queue.is_empty();
+        let is_free = self.in_flight < self.limit && self.waiting.is_empty();
         if is_free {
             self.in_flight += 1;
             move_towards(&mut self.wait_seconds, Duration::ZERO, WAIT_GAIN);
@@ -99,54 +74,11 @@
     /// Time until a call of a class would get a slot: those that go before it, each for the mean time
     /// of a call, over the slots in use.
     pub(super) fn expected_wait(&self, criticality: Criticality) -> Duration {
-        let ahead: usize = Criticality::ALL
-            .into_iter()
-            .filter(|class| *class >= criticality)
-            .map(|class| self.queue.len_by_class(class))
-            .sum();
+        let ahead = self.waiting.ahead_of(criticality);
         let per_call = self.service_time.seconds() / f64::from(self.limit.max(1));
         Duration::from_secs_f64(ahead as f64 * per_call)
     }
 
-    /// Puts a call into the queue, at the cost of a less critical one if the queue is full.
-    pub(super) fn enqueue(
-        &mut self,
-        criticality: Criticality,
-        wait_until: Instant,
-        now: Instant,
-    ) -> Result<Queued, NoSlot> {
-        let waiter = self.next_waiter;
-        self.next_waiter += 1;
-        let call = Waiting {
-            criticality,
-            deadline: wait_until.into_std(),
-            arrived: now.into_std(),
-            item: waiter,
-        };
-        let ticket = match self.queue.offer(call, now.into_std()) {
-            Offer::Queued(ticket) => ticket,
-            Offer::QueuedDisplacing(ticket, displaced) => {
-                self.refuse(displaced, NoSlot::Full);
-                ticket
-            }
-            Offer::Refused(_) => return Err(NoSlot::Full),
-        };
-        let (sender, grant) = oneshot::channel();
-        self.waiting.insert(waiter, sender);
-        Ok(Queued {
-            ticket,
-            waiter,
-            grant,
-        })
-    }
-
-    /// A call that may still wait does so no longer.
-    pub(super) fn leave_queue(&mut self, waiter: u64, ticket: Ticket) {
-        if self.waiting.remove(&waiter).is_some() {
-            self.queue.cancel(ticket);
-        }
-    }
-
     /// A call ended that held a slot for some time.
     pub(super) fn give_back(&mut self, took: Duration, now: Instant) {
         self.in_flight = self.in_flight.saturating_sub(1);
@@ -157,38 +89,21 @@
     /// Grants free slots to those that wait, the most critical first, and refuses those that waited
     /// too long.
     pub(super) fn grant(&mut self, now: Instant) {
-        for late in self.queue.expire(now.into_std()) {
-            self.refuse(late, NoSlot::Full);
-        }
+        self.waiting.refuse_late(now);
         while self.in_flight < self.limit {
-            let Some(next) = self.queue.take(now.into_std()) else {
+            let Some(next) = self.waiting.take_next(now) else {
                 return;
             };
-            let Some(waiter) = self.waiting.remove(&next.item) else {
-                continue;
-            };
-            let waited = now.into_std().saturating_duration_since(next.arrived);
-            move_towards(&mut self.wait_seconds, waited, WAIT_GAIN);
-            if waiter.send(Ok(())).is_ok() {
+            move_towards(&mut self.wait_seconds, next.waited, WAIT_GAIN);
+            if next.grant.send(Ok(())).is_ok() {
                 self.in_flight += 1;
             }
         }
     }
 
-    fn refuse(&mut self, waiter: u64, reason: NoSlot) {
-        if let Some(waiter) = self.waiting.remove(&waiter) {
-            // Fails only if the call gave up meanwhile, and then nobody needs the answer.
-            let _ = waiter.send(Err(reason));
-        }
-    }
-
     /// Refuses every call that waits, as the back end takes no more work.
     pub(super) fn refuse_waiting(&mut self) {
-        let waiting: Vec<u64> = self.waiting.keys().copied().collect();
-        for waiter in waiting {
-            self.refuse(waiter, NoSlot::Closed);
-        }
-        self.queue = queue_for(self.limit.into());
+        self.waiting.refuse_all(self.limit.into());
     }
 
     /// Takes in the slots that the back end has, above 0.
@@ -198,9 +113,7 @@
         }
         self.slots = slots;
         self.adopt_share();
-        if self.queue.is_empty() {
-            self.queue = queue_for(slots);
-        }
+        self.waiting.resize(slots);
         self.grant(now);
     }
 
@@ -256,7 +169,7 @@
         Load {
             limit: self.limit,
             in_flight: self.in_flight,
-            queued: u16::try_from(self.queue.len()).unwrap_or(u16::MAX),
+            queued: u16::try_from(self.waiting.len()).unwrap_or(u16::MAX),
             wait_ms: (self.wait_seconds * 1000.0) as u16,
             service_ms: (self.service_time.faded_seconds(now) * 1000.0) as u16,
             failing: 0,
