--- a/crates/tallybridge-mesh/src/request/entry/mod.rs
+++ b/crates/tallybridge-mesh/src/request/entry/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! Relies on `prepare` for what happens before a call is sent, with `times` and `class` for its
 //! deadlines and its class, on [`quota`] for the limit of its tenant, on [`super::forward`] for the call
-//! itself, and on `refusal` for the answer of one that is refused. Tells the admission control what a
-//! request cost, and the call that a nested one belongs to how it ended.
+//! itself, and on `refusal` for the answer of one that is refused. Records what a request cost with
+//! the admission control, or with the running call that made it.
 
 mod class;
 mod forwarded_head;
@@ -26,7 +26,6 @@
     quota,
 };
 use crate::{
-    clock::BootInstant,
     http::{Answer, Request},
     log::decisions::EntryFacts,
     node::{NestedCall, Node},
@@ -38,7 +37,6 @@
 pub async fn handle(node: &Arc<Node>, request: Request) -> Answer {
     let _in_flight = node.request_begins();
     node.counters.requests.fetch_add(1, Ordering::Relaxed);
-    let arrived = request.arrived;
     let attempt = request.head.headers.first(node.names.attempt);
     let mut nested = attempt.and_then(|attempt| node.nested(attempt));
     let parent = nested.as_ref().map(NestedCall::parent);
@@ -59,11 +57,11 @@
             answered.answer
         }
         Err(unanswered) => {
-            if let (None, Some(call)) = (&nested, call) {
-                node.route_unanswered(&call.route, rank_of(call.tenant.as_deref()));
+            if nested.is_none() {
+                record_unanswered(node, call);
             }
             node.counters.count_refused(unanswered.refusal.kind);
-            log_refusal(node, &request, call, &unanswered, arrived);
+            log_refusal(node, &request, call, &unanswered);
             refusal_answer(&unanswered.refusal)
         }
     }
@@ -105,13 +103,14 @@
     }
 }
 
-fn log_refusal(
-    node: &Node,
-    request: &Request,
-    call: Option<&Call>,
-    unanswered: &Unanswered,
-    arrived: BootInstant,
-) {
+/// Records with its route that a fresh request was not answered, if it was admitted.
+fn record_unanswered(node: &Node, call: Option<&Call>) {
+    if let Some(call) = call {
+        node.route_unanswered(&call.route, rank_of(call.tenant.as_deref()));
+    }
+}
+
+fn log_refusal(node: &Node, request: &Request, call: Option<&Call>, unanswered: &Unanswered) {
     let attempt = request.head.headers.text(node.names.attempt);
     let version = node
         .configuration()
@@ -127,7 +126,7 @@
         version,
         read_age: node.read_age(),
         tried: unanswered.tried,
-        held: arrived.elapsed(),
+        held: request.arrived.elapsed(),
     };
     node.decisions.refused_at_entry(&unanswered.refusal, &facts);
 }
--- a/crates/tallybridge-mesh/src/request/entry/prepare.rs
+++ b/crates/tallybridge-mesh/src/request/entry/prepare.rs
@@ -1,9 +1,9 @@
 //! What happens to a request before it is forwarded: it is routed, gets its times and its class, and is
 //! admitted or refused.
 //!
-//! The checks stand in the order in which a refusal tells its caller most: what is wrong with the
-//! request, then this node's stop, then quarantine, then overload. A quarantined request must not be
-//! told to come back in a second, as one that is shed is. Whether a fresh request is shed is decided in
+//! The order of the checks decides which refusal a caller gets: what is wrong with the request, then
+//! this node's stop, then quarantine, then overload. A quarantined request must not get the short time
+//! to come back of one that is shed. Whether a fresh request is shed is decided in
 //! [`crate::tables::admission`].
 
 use std::{sync::Arc, time::Duration};
--- a/crates/tallybridge-mesh/src/request/entry/times.rs
+++ b/crates/tallybridge-mesh/src/request/entry/times.rs
@@ -4,7 +4,7 @@
 //! fresh request waits for a slot for a small part of its route's target latency, a nested call for the
 //! greater part of its time.
 //!
-//! **Inputs.** The sender's patience, in milliseconds from the arrival of the request, if it tells one;
+//! **Inputs.** The time that the sender waits, in milliseconds from the arrival of the request, if it states one;
 //! time-out and target latency of the route, from the configuration in force; whether the call is
 //! nested; all counted from when the request's head was read.
 //!
@@ -34,7 +34,7 @@
 }
 
 impl CallTimes {
-    /// The times of a call whose sender tells its patience in these words.
+    /// The times of a call whose sender states its patience in this header value.
     pub(super) fn of(
         arrived: BootInstant,
         patience_ms: Option<&str>,
@@ -55,7 +55,7 @@
     }
 }
 
-/// The time that a sender will wait; `None` when it tells none that can be read, and the time-out of
+/// The time that a sender will wait; `None` when it states none that can be read, and the time-out of
 /// the route holds.
 fn patience_of(milliseconds: &str) -> Option<Duration> {
     let milliseconds: f64 = milliseconds.parse().ok()?;
--- a/crates/tallybridge-mesh/src/request/execute/mod.rs
+++ b/crates/tallybridge-mesh/src/request/execute/mod.rs
@@ -96,7 +96,7 @@
 
 fn log_refusal(node: &Node, call: &CallMessage, refusal: &Refusal, arrived: BootInstant) {
     let facts = ExecutorFacts {
-        // A name that is no text is logged as none; the other facts still tell the call.
+        // A name that is not UTF-8 is logged as empty; the other facts stand.
         attempt: std::str::from_utf8(&call.attempt).unwrap_or_default(),
         load: node.load(),
         held: arrived.elapsed(),
--- a/crates/tallybridge-mesh/src/request/execute/verdict.rs
+++ b/crates/tallybridge-mesh/src/request/execute/verdict.rs
@@ -76,7 +76,7 @@
     }
 }
 
-/// What a failed exchange says of the dispatch, for the search for requests that crash back ends.
+/// How a failed exchange counts in the search for requests that crash back ends.
 pub(super) const fn dispatch_end(stage: ExchangeStage) -> DispatchEnd {
     match stage {
         ExchangeStage::NotSent => DispatchEnd::NotRun,
--- a/crates/tallybridge-mesh/src/request/forward/mod.rs
+++ b/crates/tallybridge-mesh/src/request/forward/mod.rs
@@ -13,7 +13,7 @@
 
 use self::{
     attempt::{Target, attempt},
-    retry::{Attempts, MAX_REROUTES, is_failure_of_outlier},
+    retry::{Attempts, MAX_FURTHER_ATTEMPTS, is_failure_of_outlier},
 };
 use super::execute::Answered;
 use crate::{
@@ -69,7 +69,7 @@
     node.record_first_attempt(&call.service, first);
     refuse_expired(call).map_err(Unanswered::untried)?;
     let mut attempts = Attempts::new();
-    for _ in 0..=MAX_REROUTES {
+    for _ in 0..=MAX_FURTHER_ATTEMPTS {
         let Some(target) = choose(node, call, attempts.tried()) else {
             break;
         };
@@ -80,7 +80,10 @@
             Ok(answered) if !is_failure_of_outlier(node, call, address, &answered.answer) => {
                 return Ok(answered);
             }
-            Ok(answered) => attempts.record_failure(answered),
+            Ok(answered) => {
+                attempts.record_failure(answered);
+                true
+            }
             Err(refusal) => attempts.record_refusal(refusal),
         };
         if !attempts.continue_after(node, call, has_dispatched) {
--- a/crates/tallybridge-mesh/src/request/forward/retry.rs
+++ b/crates/tallybridge-mesh/src/request/forward/retry.rs
@@ -4,7 +4,7 @@
 //! a back end got goes to another one (a *retry*) only if it has not run for certain or may run again,
 //! if fewer back ends than its route allows got it, and if the retry budget of its service pays. It is
 //! given up when its deadline has passed, when its request is quarantined, when no executor is left, or
-//! after [`MAX_REROUTES`] further executors.
+//! after `MAX_FURTHER_ATTEMPTS` further executors.
 //!
 //! **Inputs.** The refusal or answer of each attempt; whether the call is idempotent and urgent; the
 //! most back ends that its route allows, from the configuration in force when the call came; the retry
@@ -29,9 +29,9 @@
 use super::{Answered, Call, Unanswered, placement_query};
 use crate::{clock::BootInstant, http::Answer, node::Node};
 
-/// Most executors, besides the first, that one call is sent to: reroutes and retries together. Origin
+/// Most executors, besides the first, that one call is sent to: by reroutes and retries together. Origin
 /// not recorded.
-pub(super) const MAX_REROUTES: usize = 4;
+pub(super) const MAX_FURTHER_ATTEMPTS: usize = 4;
 
 /// The attempts of one call so far.
 pub(super) struct Attempts {
@@ -71,11 +71,10 @@
         self.tried.push(executor);
     }
 
-    /// An outlier answered with a failure. Returns that a back end got the call.
-    pub(super) fn record_failure(&mut self, answered: Answered) -> bool {
+    /// An outlier answered with a failure.
+    pub(super) fn record_failure(&mut self, answered: Answered) {
         self.may_have_run = true;
         self.failure = Some(answered);
-        true
     }
 
     /// An attempt ended without an answer. Returns whether a back end may have got the call.
--- a/crates/tallybridge-mesh/src/tables/peers/placement/mod.rs
+++ b/crates/tallybridge-mesh/src/tables/peers/placement/mod.rs
@@ -68,9 +68,9 @@
 /// stood beside a stopping node served nothing otherwise (docs/FINDINGS.md, "planned stop").
 const LAST_RESORT_COST: f64 = 100.0;
 /// Cost of an executor for which every call gets lost, in utilization; in proportion below that. Set
-/// together with `LOSS_GAIN` where two of three back ends lost 40% of their
-/// answers: 0.872 -> 0.930 of that day served, with a change of the retry budgets besides
-/// (docs/FINDINGS.md, "lose 40% of their answers"). Origin of the figure not recorded.
+/// together with `LOSS_GAIN` where two of three back ends lost 40% of their answers: served 0.872 ->
+/// 0.930 of that day, with changes to the retry budgets and to stopping nodes besides (docs/FINDINGS.md,
+/// "lose 40% of their answers"). Origin of the figure not recorded.
 const LOSS_COST: f64 = 2.0;
 
 /// Where a call can be executed.
