--- a/crates/tallybridge-mesh/src/http/answer.rs
+++ b/crates/tallybridge-mesh/src/http/answer.rs
@@ -5,7 +5,10 @@
 use bytes::Bytes;
 use tokio::{io::AsyncWriteExt, net::TcpStream};
 
-/// Body bytes that are written together with the head, in one call.
+use super::headers::write_line;
+
+/// Most bytes of a body that are copied behind the head, so that both are written in one call. Origin
+/// not recorded.
 const JOINED_BODY_BYTES: usize = 64 * 1024;
 
 /// An answer to a caller.
@@ -33,7 +36,7 @@
     /// The same answer with one more header line.
     #[must_use]
     pub fn with_header(mut self, name: &str, value: &str) -> Self {
-        super::head::write_line(name, value.as_bytes(), &mut self.headers);
+        write_line(name, value.as_bytes(), &mut self.headers);
         self
     }
 }
@@ -49,8 +52,23 @@
 impl PendingAnswer {
     /// Writes the answer; `closes` announces the end of the connection.
     pub async fn write(&self, stream: &mut TcpStream, closes: bool) -> io::Result<()> {
+        let body = &self.answer.body;
+        let has_body = !self.is_head_request && self.may_have_body();
+        let mut bytes = self.head(closes);
+        if has_body && body.len() <= JOINED_BODY_BYTES {
+            bytes.extend_from_slice(body);
+            return stream.write_all(&bytes).await;
+        }
+        stream.write_all(&bytes).await?;
+        if has_body {
+            stream.write_all(body).await?;
+        }
+        Ok(())
+    }
+
+    /// The head, with room for the body behind it.
+    fn head(&self, closes: bool) -> Vec<u8> {
         let answer = &self.answer;
-        let has_body = !self.is_head_request && !matches!(answer.status, 204 | 304);
         let mut bytes = Vec::with_capacity(256 + answer.headers.len() + answer.body.len());
         bytes.extend_from_slice(b"HTTP/1.1 ");
         bytes.extend_from_slice(answer.status.to_string().as_bytes());
@@ -58,23 +76,20 @@
         bytes.extend_from_slice(reason_phrase(answer.status).as_bytes());
         bytes.extend_from_slice(b"\r\n");
         bytes.extend_from_slice(&answer.headers);
-        if !matches!(answer.status, 204 | 304) {
+        if self.may_have_body() {
             let length = answer.body.len().to_string();
-            super::head::write_line("Content-Length", length.as_bytes(), &mut bytes);
+            write_line("Content-Length", length.as_bytes(), &mut bytes);
         }
         if closes {
-            bytes.extend_from_slice(b"Connection: close\r\n");
+            write_line("Connection", b"close", &mut bytes);
         }
         bytes.extend_from_slice(b"\r\n");
-        if has_body && answer.body.len() <= JOINED_BODY_BYTES {
-            bytes.extend_from_slice(&answer.body);
-            return stream.write_all(&bytes).await;
-        }
-        stream.write_all(&bytes).await?;
-        if has_body {
-            stream.write_all(&answer.body).await?;
-        }
-        Ok(())
+        bytes
+    }
+
+    /// Answers of these statuses never have a body (RFC 9110, section 6.4.1).
+    const fn may_have_body(&self) -> bool {
+        !matches!(self.answer.status, 204 | 304)
     }
 }
 
--- a/crates/tallybridge-mesh/src/http/client.rs
+++ b/crates/tallybridge-mesh/src/http/client.rs
@@ -1,63 +1,27 @@
 //! One connection on which requests are sent and whole answers read, one at a time.
 
-use std::{io, net::SocketAddr, time::Duration};
+use std::io;
 
 use bytes::{Bytes, BytesMut};
-use socket2::{SockRef, TcpKeepalive};
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
-    net::TcpStream,
+    net::{TcpStream, tcp::ReadHalf},
 };
 
-use super::{
-    body::{BodyLength, BodyReader},
-    head::ResponseHead,
-};
+use super::{BodyLength, BodyReader, ExchangeError, ResponseHead, exchange_error::ExchangeFailure};
 
-/// Largest head of an answer, in bytes.
+/// Largest head of an answer, in bytes. Origin not recorded.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// Largest body of an answer, in bytes.
+/// Largest body of an answer, in bytes; as large as a request's body may be by default.
 const MAX_BODY_BYTES: usize = 64 << 20;
-/// Room that is made for each read, in bytes.
+/// Room that is made for each read, in bytes. Origin not recorded.
 const READ_BYTES: usize = 8 * 1024;
 
-/// How far an exchange came before it failed.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ExchangeStage {
-    /// Nothing was written: the request was not handed over.
-    NotSent,
-    /// Something was written: the request may have been taken.
-    Sent,
-}
-
-/// An exchange that gave no whole answer.
-#[derive(Debug, thiserror::Error)]
-#[error("{reason}")]
-pub struct ExchangeError {
-    /// How far it came.
-    pub stage: ExchangeStage,
-    /// What went wrong.
-    pub reason: String,
-}
-
-impl ExchangeError {
-    /// A failure before anything was written.
-    #[must_use]
-    pub fn not_sent(reason: impl ToString) -> Self {
-        Self {
-            stage: ExchangeStage::NotSent,
-            reason: reason.to_string(),
-        }
-    }
-
-    /// A failure after something was written.
-    #[must_use]
-    pub fn sent(reason: impl ToString) -> Self {
-        Self {
-            stage: ExchangeStage::Sent,
-            reason: reason.to_string(),
-        }
-    }
+/// A connection to an HTTP server.
+#[derive(Debug)]
+pub struct Connection {
+    stream: TcpStream,
+    buffer: BytesMut,
 }
 
 /// A whole answer.
@@ -74,44 +38,6 @@
     pub reusable: bool,
 }
 
-/// A connection to an HTTP server.
-#[derive(Debug)]
-pub struct Connection {
-    stream: TcpStream,
-    buffer: BytesMut,
-}
-
-/// Opens a TCP connection that notices silence: unacknowledged data or keep-alive probes end it.
-///
-/// # Errors
-///
-/// What the socket says, or a time-out after `timeout`.
-pub async fn connect(
-    address: SocketAddr,
-    timeout: Duration,
-    silence: Duration,
-) -> io::Result<TcpStream> {
-    let connecting = TcpStream::connect(address);
-    let stream = tokio::time::timeout(timeout, connecting)
-        .await
-        .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    set_liveness_options(&stream, silence);
-    Ok(stream)
-}
-
-/// Sets the options by which a connection whose other side falls silent ends.
-pub fn set_liveness_options(stream: &TcpStream, silence: Duration) {
-    let socket = SockRef::from(stream);
-    let keepalive = TcpKeepalive::new()
-        .with_time(Duration::from_secs(1))
-        .with_interval(Duration::from_secs(1))
-        .with_retries(2);
-    // Each is an improvement only: a system without the option still carries the connection.
-    let _ = socket.set_tcp_nodelay(true);
-    let _ = socket.set_tcp_user_timeout(Some(silence));
-    let _ = socket.set_tcp_keepalive(&keepalive);
-}
-
 impl Connection {
     /// A connection on a stream that was opened.
     #[must_use]
@@ -135,7 +61,7 @@
         }
     }
 
-    /// Sends a request and reads its whole answer.
+    /// Sends a request and reads its whole answer, which may come before the request is sent whole.
     ///
     /// # Errors
     ///
@@ -173,9 +99,7 @@
         received.reusable &= is_sent && buffer.is_empty();
         Ok(received)
     }
-}
 
-impl Connection {
     /// Reads one more answer, after one that belonged to no request.
     ///
     /// # Errors
@@ -192,52 +116,58 @@
 }
 
 async fn receive(
-    reader: &mut tokio::net::tcp::ReadHalf<'_>,
+    reader: &mut ReadHalf<'_>,
     buffer: &mut BytesMut,
     is_head_request: bool,
-) -> Result<Received, String> {
-    let head = loop {
-        match ResponseHead::take(buffer, MAX_HEAD_BYTES).map_err(|error| error.to_string())? {
-            Some(head) if (100..=199).contains(&head.status) && head.status != 101 => {}
-            Some(head) => break head,
-            None => read_more(reader, buffer).await?,
-        }
-    };
-    let length = BodyLength::of_response(&head, is_head_request);
-    let length = length.map_err(|error| error.to_string())?;
-    let body = BodyReader::new(length, MAX_BODY_BYTES);
-    let mut body = body.map_err(|error| error.to_string())?;
-    loop {
-        if body.read(buffer).map_err(|error| error.to_string())? {
-            break;
-        }
-        if let Err(reason) = read_more(reader, buffer).await {
-            if reason == CLOSED && body.ends_at_close() {
-                break;
-            }
-            return Err(reason);
-        }
-    }
+) -> Result<Received, ExchangeFailure> {
+    let head = receive_head(reader, buffer).await?;
+    let length = BodyLength::of_response(&head, is_head_request)?;
+    let body = receive_body(reader, buffer, length).await?;
     let goes_on = length != BodyLength::UntilClose && !head.closes();
     Ok(Received {
         head,
-        body: body.into_body().into(),
+        body,
         goes_on,
         reusable: goes_on,
     })
 }
 
-/// What a clean end of the connection is told as.
-const CLOSED: &str = "connection closed before the end of the answer";
+/// Reads the head of the final answer; interim ones (100 to 199) are passed over.
+async fn receive_head(
+    reader: &mut ReadHalf<'_>,
+    buffer: &mut BytesMut,
+) -> Result<ResponseHead, ExchangeFailure> {
+    loop {
+        match ResponseHead::take(buffer, MAX_HEAD_BYTES)? {
+            Some(head) if (100..=199).contains(&head.status) && head.status != 101 => {}
+            Some(head) => return Ok(head),
+            None => read_more(reader, buffer).await?,
+        }
+    }
+}
+
+async fn receive_body(
+    reader: &mut ReadHalf<'_>,
+    buffer: &mut BytesMut,
+    length: BodyLength,
+) -> Result<Bytes, ExchangeFailure> {
+    let mut body = BodyReader::new(length, MAX_BODY_BYTES)?;
+    while !body.read(buffer)? {
+        match read_more(reader, buffer).await {
+            Err(ExchangeFailure::Closed) if body.ends_at_close() => break,
+            read => read?,
+        }
+    }
+    Ok(body.into_body().into())
+}
 
 async fn read_more(
-    reader: &mut tokio::net::tcp::ReadHalf<'_>,
+    reader: &mut ReadHalf<'_>,
     buffer: &mut BytesMut,
-) -> Result<(), String> {
+) -> Result<(), ExchangeFailure> {
     buffer.reserve(READ_BYTES);
-    match reader.read_buf(buffer).await {
-        Ok(0) => Err(CLOSED.to_owned()),
-        Ok(_) => Ok(()),
-        Err(error) => Err(error.to_string()),
+    match reader.read_buf(buffer).await? {
+        0 => Err(ExchangeFailure::Closed),
+        _ => Ok(()),
     }
 }
--- a/crates/tallybridge-mesh/src/http/head.rs
+++ b/crates/tallybridge-mesh/src/http/head.rs
@@ -1,25 +1,12 @@
-//! Heads of requests and answers.
+//! Heads of requests and answers: taking them off a buffer, within bounds.
 
-use std::ops::Range;
+use bytes::{Buf, BytesMut};
 
-use bytes::{Bytes, BytesMut};
+use super::headers::HeaderLines;
 
-/// Most header lines of a message.
+/// Most header lines of a message. Origin not recorded.
 const MAX_HEADERS: usize = 96;
 
-/// Headers that concern one connection only and are never passed on.
-const CONNECTION_HEADERS: [&str; 9] = [
-    "connection",
-    "keep-alive",
-    "proxy-connection",
-    "proxy-authenticate",
-    "proxy-authorization",
-    "te",
-    "trailer",
-    "transfer-encoding",
-    "upgrade",
-];
-
 /// Why a head can't be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum HeadError {
@@ -31,107 +18,6 @@
     TooLarge,
 }
 
-/// Header lines of one message, kept as the bytes that came.
-#[derive(Debug, Clone)]
-pub struct HeaderLines {
-    bytes: Bytes,
-    lines: Vec<HeaderLine>,
-}
-
-#[derive(Debug, Clone)]
-struct HeaderLine {
-    name: Range<usize>,
-    value: Range<usize>,
-}
-
-impl HeaderLines {
-    fn new(bytes: Bytes, headers: &[httparse::Header<'_>]) -> Self {
-        let start = bytes.as_ptr() as usize;
-        let range = |part: &[u8]| {
-            let from = part.as_ptr() as usize - start;
-            from..from + part.len()
-        };
-        let lines = headers
-            .iter()
-            .map(|header| HeaderLine {
-                name: range(header.name.as_bytes()),
-                value: range(header.value),
-            })
-            .collect();
-        Self { bytes, lines }
-    }
-
-    /// All lines as name and value, in the order in which they came.
-    pub fn iter(&self) -> impl Iterator<Item = (&str, &[u8])> {
-        self.lines.iter().map(|line| {
-            let name = &self.bytes[line.name.clone()];
-            let name = std::str::from_utf8(name).unwrap_or_default();
-            (name, &self.bytes[line.value.clone()])
-        })
-    }
-
-    /// The values of all lines of a name, whatever its case.
-    pub fn all(&self, name: &str) -> impl Iterator<Item = &[u8]> {
-        self.iter()
-            .filter(move |(line, _)| line.eq_ignore_ascii_case(name))
-            .map(|(_, value)| value)
-    }
-
-    /// The value of the first line of a name.
-    #[must_use]
-    pub fn first(&self, name: &str) -> Option<&[u8]> {
-        let mut values = self.iter();
-        values
-            .find(|(line, _)| line.eq_ignore_ascii_case(name))
-            .map(|(_, value)| value)
-    }
-
-    /// The value of the first line of a name, as text.
-    #[must_use]
-    pub fn text(&self, name: &str) -> Option<&str> {
-        self.first(name)
-            .and_then(|value| std::str::from_utf8(value).ok())
-            .map(str::trim)
-    }
-
-    /// Whether a comma-separated header holds a token, whatever its case.
-    #[must_use]
-    pub fn has_token(&self, name: &str, token: &str) -> bool {
-        self.all(name)
-            .filter_map(|value| std::str::from_utf8(value).ok())
-            .flat_map(|value| value.split(','))
-            .any(|part| part.trim().eq_ignore_ascii_case(token))
-    }
-
-    /// Writes the lines that are passed on: those of the connection and those of `dropped` are not.
-    pub fn write_end_to_end(&self, dropped: &[&str], out: &mut Vec<u8>) {
-        for (name, value) in self.iter() {
-            if self.is_of_connection(name) || is_one_of(name, dropped) {
-                continue;
-            }
-            write_line(name, value, out);
-        }
-    }
-
-    fn is_of_connection(&self, name: &str) -> bool {
-        is_one_of(name, &CONNECTION_HEADERS)
-            || name.eq_ignore_ascii_case("content-length")
-            || (!name.eq_ignore_ascii_case("host") && self.has_token("connection", name))
-    }
-}
-
-fn is_one_of(name: &str, names: &[&str]) -> bool {
-    names.iter().any(|other| name.eq_ignore_ascii_case(other))
-}
-
-/// Writes one header line.
-pub fn write_line(name: &str, value: &[u8], out: &mut Vec<u8>) {
-    out.extend_from_slice(name.as_bytes());
-    out.extend_from_slice(b": ");
-    out.extend_from_slice(value);
-    out.extend_from_slice(b"\r\n");
-}
-
 /// Head of a request.
 #[derive(Debug, Clone)]
 pub struct RequestHead {
@@ -159,10 +45,7 @@
         let bytes = buffer.split_to(length).freeze();
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
-        match request.parse(&bytes).map_err(head_error)? {
-            httparse::Status::Complete(_) => {}
-            httparse::Status::Partial => return Err(HeadError::Malformed),
-        }
+        require_complete(request.parse(&bytes))?;
         let (Some(method), Some(target), Some(version)) =
             (request.method, request.path, request.version)
         else {
@@ -179,9 +62,7 @@
     /// Whether the sender will not use the connection after this request.
     #[must_use]
     pub fn closes(&self) -> bool {
-        let close = self.headers.has_token("connection", "close");
-        let keep = self.headers.has_token("connection", "keep-alive");
-        close || (!self.is_version_1_1 && !keep)
+        closes(&self.headers, self.is_version_1_1)
     }
 }
 
@@ -214,10 +95,7 @@
         let bytes = buffer.split_to(length).freeze();
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
-        match response.parse(&bytes).map_err(head_error)? {
-            httparse::Status::Complete(_) => {}
-            httparse::Status::Partial => return Err(HeadError::Malformed),
-        }
+        require_complete(response.parse(&bytes))?;
         let (Some(status), Some(version)) = (response.code, response.version) else {
             return Err(HeadError::Malformed);
         };
@@ -231,23 +109,31 @@
     /// Whether the sender will close the connection after this answer.
     #[must_use]
     pub fn closes(&self) -> bool {
-        let close = self.headers.has_token("connection", "close");
-        let keep = self.headers.has_token("connection", "keep-alive");
-        close || (!self.is_version_1_1 && !keep)
+        closes(&self.headers, self.is_version_1_1)
     }
 }
 
-fn head_error(error: httparse::Error) -> HeadError {
-    match error {
-        httparse::Error::TooManyHeaders => HeadError::TooLarge,
-        _ => HeadError::Malformed,
+/// Whether the sender of a head closes the connection after its message. Connections of HTTP/1.0
+/// close unless they announce otherwise (RFC 9112, section 9.3).
+fn closes(headers: &HeaderLines, is_version_1_1: bool) -> bool {
+    let close = headers.has_token("connection", "close");
+    let keep = headers.has_token("connection", "keep-alive");
+    close || (!is_version_1_1 && !keep)
+}
+
+fn require_complete(parsed: httparse::Result<usize>) -> Result<(), HeadError> {
+    match parsed {
+        Ok(httparse::Status::Complete(_)) => Ok(()),
+        Ok(httparse::Status::Partial) => Err(HeadError::Malformed),
+        Err(httparse::Error::TooManyHeaders) => Err(HeadError::TooLarge),
+        Err(_) => Err(HeadError::Malformed),
     }
 }
 
 /// Empty lines before a request are allowed (RFC 9112, section 2.2).
 fn skip_empty_lines(buffer: &mut BytesMut) {
     while buffer.starts_with(b"\r\n") {
-        let _ = buffer.split_to(2);
+        buffer.advance(2);
     }
 }
 
--- a/crates/tallybridge-mesh/src/http/mod.rs
+++ b/crates/tallybridge-mesh/src/http/mod.rs
@@ -1,20 +1,32 @@
-//! HTTP/1.1 as both doors need it: whole messages, exact framing, nothing hidden.
+//! HTTP/1.1 as entries and executors need it: whole messages, exact framing, nothing hidden.
 //!
-//! Built on `httparse`, the parser under `hyper` and so under `warp` and `reqwest`. Those hide
-//! what the doors must decide themselves: answering pipelined requests side by side, telling a
-//! caller that closed from one that waits, and refusing to reuse a connection with surplus bytes.
+//! [`server`] answers callers; [`client`], [`pool`] and [`persistent`] call back ends and the
+//! platform's store; heads, header lines and bodies are read by one code for both.
+//!
+//! Built on `httparse`, the parser under `hyper` and so under `warp` and `reqwest`. Those hide what
+//! must be decided here: answering pipelined requests side by side, telling a caller that closed
+//! from one that waits, and refusing to reuse a connection with surplus bytes (`docs/DESIGN.md`).
 
 mod answer;
-pub mod body;
-pub mod client;
-pub mod head;
+mod body;
+mod client;
+mod exchange_error;
+mod head;
+mod headers;
 mod persistent;
-pub mod pool;
-pub mod server;
+mod pool;
+mod server;
+mod socket;
 
-pub use answer::Answer;
-pub use body::{BodyError, BodyLength, BodyReader};
-pub use client::{Connection, ExchangeError, ExchangeStage, Received};
-pub use head::{HeadError, HeaderLines, RequestHead, ResponseHead};
-pub use persistent::PersistentConnection;
-pub use server::{HttpLimits, Request, RequestHandler, serve_connection};
+pub use self::{
+    answer::Answer,
+    body::{BodyError, BodyLength, BodyReader},
+    client::{Connection, Received},
+    exchange_error::{ExchangeError, ExchangeFailure, ExchangeStage},
+    head::{HeadError, RequestHead, ResponseHead},
+    headers::{HeaderLines, write_line},
+    persistent::PersistentConnection,
+    pool::{Checkout, ConnectionPool},
+    server::{HttpLimits, Request, RequestHandler, serve_connection},
+    socket::{connect, set_liveness_options},
+};
--- a/crates/tallybridge-mesh/src/http/persistent.rs
+++ b/crates/tallybridge-mesh/src/http/persistent.rs
@@ -1,15 +1,15 @@
-//! Calls to one server, on a connection that is kept between them.
+//! Calls to one server, as the platform's store, on a connection that is kept between them.
 
 use std::{net::SocketAddr, time::Duration};
 
 use tokio::{sync::Mutex, time::timeout};
 
-use super::{Connection, ExchangeError, Received, client::connect};
+use super::{Connection, ExchangeError, Received, connect};
 
-/// Longest wait for a connection.
-const CONNECT: Duration = Duration::from_millis(800);
-/// Time after which unacknowledged bytes end a connection.
-const SILENCE: Duration = Duration::from_millis(2000);
+/// Longest wait for a connection. Origin not recorded.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
+/// Time after which unacknowledged bytes end a connection. Origin not recorded.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2000);
 
 /// A server, and the connection that is kept to it. Calls go one after the other.
 #[derive(Debug)]
@@ -44,20 +44,18 @@
         let mut kept = self.connection.lock().await;
         let connection = kept.take().filter(Connection::is_quiet);
         let request = self.request(method, path, body);
-        let body = body.unwrap_or_default().as_bytes();
+        let body = body.unwrap_or("").as_bytes();
         let calling = async {
             let mut connection = match connection {
                 Some(connection) => connection,
                 None => self.open().await?,
             };
             let received = connection.exchange(request.as_bytes(), body, false).await?;
-            Ok((connection, received))
+            Ok::<_, ExchangeError>((connection, received))
         };
-        let called: Result<(Connection, Received), ExchangeError> =
-            timeout(limit, calling)
-                .await
-                .map_err(|_| ExchangeError::sent("time is up"))?;
-        let (connection, received) = called?;
+        let called = timeout(limit, calling).await;
+        let (connection, received) =
+            called.map_err(|_| ExchangeError::given_up("time is up"))??;
         if received.reusable {
             *kept = Some(connection);
         }
@@ -65,7 +63,7 @@
     }
 
     async fn open(&self) -> Result<Connection, ExchangeError> {
-        let stream = connect(self.address, CONNECT, SILENCE).await;
+        let stream = connect(self.address, CONNECT_TIMEOUT, UNACKNOWLEDGED_TIMEOUT).await;
         let stream = stream.map_err(ExchangeError::not_sent)?;
         Ok(Connection::new(stream))
     }
--- a/crates/tallybridge-mesh/src/listener/callers.rs
+++ b/crates/tallybridge-mesh/src/listener/callers.rs
@@ -1,4 +1,4 @@
-//! Where callers, and the back end with its nested calls, send requests to.
+//! The address to which callers, and the back end with its nested calls, send requests.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
     request::entry,
 };
 
-/// Answers callers.
+/// Passes each request to [`entry::handle`], within the bounds of the configuration in force.
 #[derive(Clone)]
 pub struct CallerHandler(pub Arc<Node>);
 
--- a/crates/tallybridge-mesh/src/listener/control.rs
+++ b/crates/tallybridge-mesh/src/listener/control.rs
@@ -1,4 +1,4 @@
-//! Where readiness is asked for and the back end reports itself.
+//! The address for readiness probes and for the heartbeats of the back end.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,9 +9,12 @@
     platform::{ControlRequest, InstanceReport},
 };
 
-/// Largest report, in bytes.
+/// Largest report, in bytes. Origin not recorded.
 const MAX_REPORT_BYTES: usize = 64 * 1024;
-/// Answers questions about readiness and reports of the back end.
+/// Time that a connection may be idle between two reports. Origin not recorded.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+
+/// Answers readiness probes and takes in reports of the back end.
 #[derive(Clone)]
 pub struct ControlHandler(pub Arc<Node>);
 
@@ -36,7 +39,7 @@
     fn limits(&self) -> HttpLimits {
         HttpLimits {
             max_body_bytes: MAX_REPORT_BYTES,
-            idle_timeout: Duration::from_secs(60),
+            idle_timeout: IDLE_TIMEOUT,
             ..HttpLimits::default()
         }
     }
@@ -57,11 +60,16 @@
     }
 }
 
-/// Answers a report that names no back end to use. Others may send any number of them.
+/// Answers a report that can't be used; what is known of the back end stays. The log is rate-limited,
+/// since anybody may send any number of them.
 fn malformed(reason: String) -> Answer {
     static MALFORMED: LogRateLimit = LogRateLimit::new();
     if let Some(left_out) = MALFORMED.line() {
-        tracing::warn!(reason, left_out, "malformed report, the last belief stays");
+        tracing::warn!(
+            reason,
+            left_out,
+            "malformed report, the last known state stays"
+        );
     }
     Answer::new(400, reason)
 }
--- a/crates/tallybridge-mesh/src/listener/metrics.rs
+++ b/crates/tallybridge-mesh/src/listener/metrics.rs
@@ -1,16 +1,19 @@
-//! The node's own figures, as text.
+//! The node's own figures in the text format of Prometheus.
 
 use std::{
-    fmt::Write,
-    sync::{Arc, atomic::Ordering},
+    fmt::{Arguments, Write},
+    sync::{
+        Arc,
+        atomic::{AtomicU64, Ordering},
+    },
 };
 
 use crate::{
     http::{Answer, HttpLimits, Request, RequestHandler},
-    node::Node,
+    node::{Counters, Node},
 };
 
-/// Shows the figures in the text format of Prometheus.
+/// Answers each request with all figures.
 #[derive(Clone)]
 pub struct MetricsHandler(pub Arc<Node>);
 
@@ -29,12 +32,25 @@
 }
 
 fn page(node: &Node) -> String {
-    let counters = &node.counters;
-    let load = node.load();
-    let status = node.status();
-    let watch_view = node.watch_view();
-    let fleet = node.with_peers(|peers| (peers.known_size(), peers.links().count()));
-    let counts = [
+    let mut page = Page::default();
+    for (name, value) in counters(&node.counters) {
+        page.figure(name, "counter", value.load(Ordering::Relaxed));
+    }
+    if let Some(age) = node.read_age() {
+        let age = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
+        page.figure("configuration_read_age_milliseconds", "gauge", age);
+    }
+    for (name, value) in gauges(node) {
+        page.figure(name, "gauge", value);
+    }
+    page.admitted_shares(node);
+    page.route_costs(node);
+    page.0
+}
+
+/// Counts since the process began.
+fn counters(counters: &Counters) -> [(&'static str, &AtomicU64); 14] {
+    [
         ("requests_total", &counters.requests),
         ("answered_total", &counters.answered),
         ("refused_total", &counters.refused),
@@ -52,78 +68,73 @@
         ),
         ("backend_crashes_total", &counters.crashes),
         ("refused_quarantined_total", &counters.quarantined),
-    ];
-    let mut text = String::new();
-    for (name, value) in counts {
-        line(&mut text, name, "counter", value.load(Ordering::Relaxed));
-    }
-    if let Some(age) = node.read_age() {
-        let age = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
-        line(
-            &mut text,
-            "configuration_read_age_milliseconds",
-            "gauge",
-            age,
-        );
-    }
-    let (suspects, held) = node.quarantine_sizes();
-    let gauges = [
-        ("concurrency_limit", u64::from(load.limit)),
-        ("calls_in_flight", u64::from(load.in_flight)),
-        ("calls_queued", u64::from(load.queued)),
-        ("queue_wait_milliseconds", u64::from(load.wait_ms)),
-        ("call_milliseconds", u64::from(load.service_ms)),
-        (
-            "calls_failing_percent",
-            (load.failing_share() * 100.0) as u64,
-        ),
+    ]
+}
+
+/// What holds at this moment.
+fn gauges(node: &Node) -> [(&'static str, u64); 15] {
+    let load = node.load();
+    let status = node.status();
+    let watch_view = node.watch_view();
+    let (known, links) = node.with_peers(|peers| (peers.known_size(), peers.links().count()));
+    let (suspects, quarantined) = node.quarantine_sizes();
+    let failing_percent = (load.failing_share() * 100.0) as u64;
+    [
+        ("concurrency_limit", load.limit.into()),
+        ("calls_in_flight", load.in_flight.into()),
+        ("calls_queued", load.queued.into()),
+        ("queue_wait_milliseconds", load.wait_ms.into()),
+        ("call_milliseconds", load.service_ms.into()),
+        ("calls_failing_percent", failing_percent),
         ("configuration_version", status.version),
         ("backend_state", status.backend as u64),
-        ("nodes_known", fleet.0 as u64),
-        ("links_open", fleet.1 as u64),
-        ("watches_store", u64::from(node.is_watcher())),
+        ("nodes_known", known as u64),
+        ("links_open", links as u64),
+        ("watches_store", node.is_watcher().into()),
         ("peers_confirming", watch_view.confirming as u64),
         ("requests_suspected", suspects as u64),
-        ("requests_held_back", held as u64),
+        ("requests_held_back", quarantined as u64),
         ("requests_in_flight", node.requests_in_flight() as u64),
-    ];
-    for (name, value) in gauges {
-        line(&mut text, name, "gauge", value);
-    }
-    shed_routes(&mut text, node);
-    route_costs(&mut text, node);
-    text
+    ]
 }
 
-/// What a request of each route costs each service, as its answers told.
-fn route_costs(text: &mut String, node: &Node) {
-    let _ = writeln!(text, "# TYPE tallybridge_route_cost_milliseconds gauge");
-    for ((route, service), cost) in node.route_costs() {
+/// The text so far.
+#[derive(Default)]
+struct Page(String);
+
+impl Page {
+    fn line(&mut self, line: Arguments<'_>) {
         // Writing to a string can't fail.
-        let _ = writeln!(
-            text,
-            "tallybridge_route_cost_milliseconds{{route={route:?},service={service:?}}} {cost:.1}"
-        );
+        let _ = writeln!(self.0, "{line}");
     }
-}
 
-/// The share of fresh requests that is let in, of routes of which some are refused.
-fn shed_routes(text: &mut String, node: &Node) {
-    let _ = writeln!(text, "# TYPE tallybridge_route_admitted_percent gauge");
-    for (route, share) in node.shed_routes() {
-        let percent = (share * 100.0) as u64;
-        // Writing to a string can't fail.
-        let _ = writeln!(
-            text,
-            "tallybridge_route_admitted_percent{{route={route:?}}} {percent}"
-        );
+    fn figure(&mut self, name: &str, kind: &str, value: u64) {
+        self.line(format_args!("# TYPE tallybridge_{name} {kind}"));
+        self.line(format_args!("tallybridge_{name} {value}"));
     }
-}
 
-fn line(text: &mut String, name: &str, kind: &str, value: u64) {
-    // Writing to a string can't fail.
-    let _ = writeln!(
-        text,
-        "# TYPE tallybridge_{name} {kind}\ntallybridge_{name} {value}"
-    );
+    /// The share of fresh requests that is admitted, of routes of which some are refused.
+    fn admitted_shares(&mut self, node: &Node) {
+        self.line(format_args!(
+            "# TYPE tallybridge_route_admitted_percent gauge"
+        ));
+        for (route, share) in node.shed_routes() {
+            let percent = (share * 100.0) as u64;
+            self.line(format_args!(
+                "tallybridge_route_admitted_percent{{route={route:?}}} {percent}"
+            ));
+        }
+    }
+
+    /// Slot time that a request of each route takes of each service, as learned from answers.
+    fn route_costs(&mut self, node: &Node) {
+        self.line(format_args!(
+            "# TYPE tallybridge_route_cost_milliseconds gauge"
+        ));
+        for ((route, service), cost) in node.route_costs() {
+            self.line(format_args!(
+                "tallybridge_route_cost_milliseconds{{route={route:?},service={service:?}}} {cost:.1}"
+            ));
+        }
+    }
 }
--- a/crates/tallybridge-mesh/src/listener/mod.rs
+++ b/crates/tallybridge-mesh/src/listener/mod.rs
@@ -1,5 +1,7 @@
-//! The addresses at which a node is reached: by callers, by the back end's reports, by other nodes, and for
-//! its metrics.
+//! The addresses at which a node is reached: by callers ([`callers`]), by the back end's reports and
+//! readiness probes ([`control`]), by other nodes ([`peers`]), and for its metrics ([`metrics`]).
+//!
+//! The topmost layer: it reads what comes and passes it down to `request` and `node`.
 
 pub mod callers;
 pub mod control;
@@ -12,14 +14,15 @@
 
 use crate::http::{RequestHandler, serve_connection};
 
-/// Wait after an accept that failed, as when descriptors have run out.
+/// Wait after an accept that failed, as when descriptors have run out. Origin not recorded.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
 
-/// Serves every connection of a listener, each in a task of its own.
+/// Serves every HTTP connection of a listener, each in a task of its own.
 pub async fn serve<H: RequestHandler>(handler: H, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, caller)) => {
+                // Without it answers may be delayed, but they come.
                 let _ = stream.set_nodelay(true);
                 tokio::spawn(serve_connection(handler.clone(), stream, caller));
             }
--- a/crates/tallybridge-mesh/src/listener/peers/mod.rs
+++ b/crates/tallybridge-mesh/src/listener/peers/mod.rs
@@ -17,7 +17,7 @@
 use self::running_calls::RunningCalls;
 use crate::{
     clock::BootInstant,
-    http::client::set_liveness_options,
+    http::set_liveness_options,
     link::{
         framing::{FrameSender, next_frame, read_hello, write_frames},
         liveness::UNACKNOWLEDGED_TIMEOUT,
--- a/crates/tallybridge-mesh/src/node/mod.rs
+++ b/crates/tallybridge-mesh/src/node/mod.rs
@@ -37,7 +37,7 @@
 use crate::{
     clock::{self, BootInstant},
     configuration::Configuration,
-    http::pool::ConnectionPool,
+    http::ConnectionPool,
     log::decisions::DecisionLog,
     platform::{HeaderNames, Platform},
     protocol::{NodeRecord, PeerStatus},
--- a/crates/tallybridge-mesh/src/request/entry/forwarded_head.rs
+++ b/crates/tallybridge-mesh/src/request/entry/forwarded_head.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     configuration::tenants::Tenant,
-    http::{Request, head::write_line},
+    http::{Request, write_line},
     node::Node,
 };
 
--- a/crates/tallybridge-mesh/src/request/execute/exchange.rs
+++ b/crates/tallybridge-mesh/src/request/execute/exchange.rs
@@ -10,7 +10,7 @@
 use super::verdict::is_misdirected;
 use crate::{
     clock::BootInstant,
-    http::{ExchangeError, ExchangeStage, Received, head::write_line, pool::Checkout},
+    http::{Checkout, ExchangeError, ExchangeStage, Received, write_line},
     node::Node,
     protocol::CallMessage,
     tables::Incarnation,
@@ -33,7 +33,7 @@
     instance: &str,
     deadline: BootInstant,
 ) -> Result<Received, ExchangeError> {
-    if let Some(checkout) = node.backend.take() {
+    if let Some(checkout) = node.backend.check_out() {
         match exchange_on(node, call, instance, deadline, checkout).await {
             // The back end had closed the connection: nothing was sent.
             Err(error) if error.stage == ExchangeStage::NotSent => {}
@@ -61,7 +61,7 @@
         biased;
         exchanged = exchanging => exchanged,
         () = node.start_is_over(incarnation) => {
-            Err(ExchangeError::sent("back end has started again"))
+            Err(ExchangeError::given_up("back end has started again"))
         }
     }
 }
@@ -82,13 +82,13 @@
     while !is_answer_to(node, &received, call, instance, surplus == 0 && is_new) {
         // An answer to another request stands in the place of this one's, which comes after it.
         if surplus == MAX_SURPLUS || !received.goes_on {
-            return Err(ExchangeError::sent("answer to another request"));
+            return Err(ExchangeError::given_up("answer to another request"));
         }
         surplus += 1;
         received = connection.next_answer(call.is_head_request).await?;
     }
     received.reusable &= surplus == 0;
-    node.backend.give_back(connection, &received);
+    node.backend.check_in(connection, &received);
     Ok(received)
 }
 
--- a/crates/tallybridge-mesh/src/request/execute/verdict.rs
+++ b/crates/tallybridge-mesh/src/request/execute/verdict.rs
@@ -70,9 +70,9 @@
     match error.stage {
         ExchangeStage::NotSent => {
             node.instance_unreachable();
-            Refusal::new(ErrorKind::NoBackend, error.reason.clone())
+            Refusal::new(ErrorKind::NoBackend, error.to_string())
         }
-        ExchangeStage::Sent => Refusal::new(ErrorKind::BackendFailed, error.reason.clone()),
+        ExchangeStage::Sent => Refusal::new(ErrorKind::BackendFailed, error.to_string()),
     }
 }
 
--- a/crates/tallybridge-mesh/src/tasks/links.rs
+++ b/crates/tallybridge-mesh/src/tasks/links.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     clock::BootInstant,
-    http::client::connect,
+    http::connect,
     link::{
         Link, Reply,
         framing::{next_frame, read_hello, write_frames},
