--- a/crates/tallybridge-mesh/src/http/answer.rs
+++ b/crates/tallybridge-mesh/src/http/answer.rs
@@ -18,7 +18,7 @@
     pub status: u16,
     /// Its header lines, each ended by CR LF, without those that frame the message.
     pub headers: Vec<u8>,
-    /// Its whole body.
+    /// Its complete body.
     pub body: Bytes,
 }
 
--- a/crates/tallybridge-mesh/src/http/client.rs
+++ b/crates/tallybridge-mesh/src/http/client.rs
@@ -1,4 +1,4 @@
-//! One connection on which requests are sent and whole answers read, one at a time.
+//! One connection on which requests are sent and complete answers read, one at a time.
 
 use std::io;
 
@@ -24,16 +24,16 @@
     buffer: BytesMut,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug)]
 pub struct Received {
     /// Its head.
     pub head: ResponseHead,
-    /// Its whole body.
+    /// Its complete body.
     pub body: Bytes,
     /// Whether more can come on the connection: the answer was framed and announced no close.
     pub goes_on: bool,
-    /// Whether the connection may carry another request: the answer was whole and framed, the
+    /// Whether the connection may carry another request: the answer was complete and framed, the
     /// request was sent to its end before, nothing is left over and nobody announced a close.
     pub reusable: bool,
 }
@@ -61,11 +61,11 @@
         }
     }
 
-    /// Sends a request and reads its whole answer, which may come before the request is sent whole.
+    /// Sends a request and reads its complete answer, which may come before the request is fully sent.
     ///
     /// # Errors
     ///
-    /// [`ExchangeError`] when the connection fails or what comes is no whole answer.
+    /// [`ExchangeError`] when the connection fails or what comes is no complete answer.
     pub async fn exchange(
         &mut self,
         request: &[u8],
@@ -104,7 +104,7 @@
     ///
     /// # Errors
     ///
-    /// [`ExchangeError`] when the connection fails or what comes is no whole answer.
+    /// [`ExchangeError`] when the connection fails or what comes is no complete answer.
     pub async fn next_answer(&mut self, is_head_request: bool) -> Result<Received, ExchangeError> {
         let Self { stream, buffer } = self;
         let (mut reader, _writer) = stream.split();
--- a/crates/tallybridge-mesh/src/http/exchange_error.rs
+++ b/crates/tallybridge-mesh/src/http/exchange_error.rs
@@ -1,10 +1,10 @@
-//! Why a request got no whole answer, and whether the server may have taken it.
+//! Why a request got no complete answer, and whether the server may have taken it.
 
 use std::io;
 
 use super::{BodyError, HeadError};
 
-/// An exchange that gave no whole answer.
+/// An exchange that gave no complete answer.
 #[derive(Debug, thiserror::Error)]
 #[error("{cause}")]
 pub struct ExchangeError {
@@ -29,7 +29,7 @@
     /// The connection could not be opened, or failed.
     #[error(transparent)]
     Connection(#[from] io::Error),
-    /// The other side closed the connection before the answer was whole.
+    /// The other side closed the connection before the answer was complete.
     #[error("connection closed before the end of the answer")]
     Closed,
     /// The head of the answer can't be read.
--- a/crates/tallybridge-mesh/src/http/head.rs
+++ b/crates/tallybridge-mesh/src/http/head.rs
@@ -32,7 +32,7 @@
 }
 
 impl RequestHead {
-    /// Takes a head off the buffer; `None` while it is not whole.
+    /// Takes a head off the buffer; `None` while it is not complete.
     ///
     /// # Errors
     ///
@@ -78,7 +78,7 @@
 }
 
 impl ResponseHead {
-    /// Takes a head off the buffer; `None` while it is not whole.
+    /// Takes a head off the buffer; `None` while it is not complete.
     ///
     /// # Errors
     ///
--- a/crates/tallybridge-mesh/src/http/headers.rs
+++ b/crates/tallybridge-mesh/src/http/headers.rs
@@ -67,13 +67,10 @@
     /// The value of the first line of a name.
     #[must_use]
     pub fn first(&self, name: &str) -> Option<&[u8]> {
-        let mut values = self.iter();
-        values
-            .find(|(line, _)| line.eq_ignore_ascii_case(name))
-            .map(|(_, value)| value)
+        self.all(name).next()
     }
 
-    /// The value of the first line of a name, as text.
+    /// The value of the first line of a name, as text; `None` also for one that is not UTF-8.
     #[must_use]
     pub fn text(&self, name: &str) -> Option<&str> {
         self.first(name)
@@ -81,7 +78,8 @@
             .map(str::trim)
     }
 
-    /// Whether a comma-separated header holds a token, whatever its case.
+    /// Whether a comma-separated header holds a token, whatever its case. Lines that are not UTF-8 hold
+    /// none.
     #[must_use]
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.all(name)
@@ -100,6 +98,8 @@
         }
     }
 
+    /// Whether a line concerns this connection only: by its name, or because the `Connection` header
+    /// names it. `Host` is always passed on.
     fn is_of_connection(&self, name: &str) -> bool {
         is_one_of(name, &CONNECTION_HEADERS)
             || name.eq_ignore_ascii_case("content-length")
--- a/crates/tallybridge-mesh/src/http/mod.rs
+++ b/crates/tallybridge-mesh/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 as entries and executors need it: whole messages, exact framing, nothing hidden.
+//! HTTP/1.1 as entries and executors need it: complete messages, exact framing, nothing hidden.
 //!
 //! [`server`] answers callers; [`client`], [`pool`] and [`persistent`] call back ends and the
 //! platform's store; heads, header lines and bodies are read by one code for both.
@@ -8,7 +8,8 @@
 //! from one that waits, and refusing to reuse a connection with surplus bytes (`docs/DESIGN.md`).
 
 mod answer;
-mod body;
+mod body_length;
+mod body_reader;
 mod client;
 mod exchange_error;
 mod head;
@@ -20,7 +21,8 @@
 
 pub use self::{
     answer::Answer,
-    body::{BodyError, BodyLength, BodyReader},
+    body_length::{BodyError, BodyLength},
+    body_reader::BodyReader,
     client::{Connection, Received},
     exchange_error::{ExchangeError, ExchangeFailure, ExchangeStage},
     head::{HeadError, RequestHead, ResponseHead},
--- a/crates/tallybridge-mesh/src/http/pool.rs
+++ b/crates/tallybridge-mesh/src/http/pool.rs
@@ -93,7 +93,7 @@
         })
     }
 
-    /// Keeps a connection after a whole answer, if it may carry another request; closes it otherwise.
+    /// Keeps a connection after a complete answer, if it may carry another request; closes it otherwise.
     pub fn check_in(&self, connection: Connection, received: &Received) {
         if !received.reusable {
             return;
--- a/crates/tallybridge-mesh/src/http/server/handler.rs
+++ b/crates/tallybridge-mesh/src/http/server/handler.rs
@@ -1,4 +1,4 @@
-//! What a listener hands to the code that answers it: whole requests, and the bounds on them.
+//! What a listener hands to the code that answers it: complete requests, and the bounds on them.
 
 use std::{future::Future, net::SocketAddr, time::Duration};
 
@@ -21,12 +21,12 @@
     fn is_closing(&self) -> bool;
 }
 
-/// A whole request.
+/// A complete request.
 #[derive(Debug)]
 pub struct Request {
     /// Its head.
     pub head: RequestHead,
-    /// Its whole body.
+    /// Its complete body.
     pub body: Bytes,
     /// When its last byte was read.
     pub arrived: BootInstant,
--- a/crates/tallybridge-mesh/src/http/server/mod.rs
+++ b/crates/tallybridge-mesh/src/http/server/mod.rs
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Starts work on every whole request that has come.
+    /// Starts work on every complete request that has come.
     async fn take_requests(&mut self) -> io::Result<()> {
         while self.intake == Intake::Open && self.pending.len() < MAX_PIPELINED {
             match self.requests.take(&self.handler.limits()) {
--- a/crates/tallybridge-mesh/src/http/server/request_reader.rs
+++ b/crates/tallybridge-mesh/src/http/server/request_reader.rs
@@ -1,4 +1,4 @@
-//! Takes whole requests off what a caller sends.
+//! Takes complete requests off what a caller sends.
 
 use std::{io, net::SocketAddr};
 
@@ -17,7 +17,7 @@
 /// Room that is made for each read, in bytes. Origin not recorded.
 const READ_BYTES: usize = 4 * 1024;
 
-/// Bytes of a connection that belong to no whole request yet.
+/// Bytes of a connection that belong to no complete request yet.
 pub(super) struct RequestReader {
     caller: SocketAddr,
     buffer: BytesMut,
@@ -61,8 +61,8 @@
         let Some(mut partial) = partial else {
             return Ok(None);
         };
-        let is_whole = partial.body.read(&mut self.buffer);
-        if !is_whole.map_err(RequestError::Body)? {
+        let is_complete = partial.body.read(&mut self.buffer);
+        if !is_complete.map_err(RequestError::Body)? {
             self.partial = Some(partial);
             return Ok(None);
         }
--- a/crates/tallybridge-mesh/src/link/liveness.rs
+++ b/crates/tallybridge-mesh/src/link/liveness.rs
@@ -12,7 +12,7 @@
 //!
 //! **Output.** One [`Verdict`] a tick. Any frame from the other node makes the link alive again.
 //!
-//! **Why.** A call that is sent to a silent node waits there for its whole time. Placing new calls
+//! **Why.** A call that is sent to a silent node waits there for its full time. Placing new calls
 //! elsewhere does no harm if the node was merely slow, so that comes first. A call that is given up
 //! may still run there and runs again elsewhere, which only idempotent calls may; of the others
 //! nothing can be said, and they wait until the link is closed. Weighed instead of contact on links:
--- a/crates/tallybridge-mesh/src/link/mod.rs
+++ b/crates/tallybridge-mesh/src/link/mod.rs
@@ -8,9 +8,9 @@
 pub mod framing;
 pub mod liveness;
 mod peer_clock;
+mod waiting;
 
 use std::{
-    collections::HashMap,
     sync::{
         Arc, Mutex, MutexGuard, PoisonError,
         atomic::{AtomicBool, Ordering},
@@ -28,6 +28,7 @@
     framing::FrameSender,
     liveness::{Liveness, Verdict},
     peer_clock::PeerClock,
+    waiting::{CallResult, WaitingCalls},
 };
 use crate::{
     clock::BootInstant,
@@ -55,7 +56,7 @@
 /// What came back for a call.
 #[derive(Debug)]
 pub enum Reply {
-    /// The whole answer of a back end.
+    /// The complete answer of a back end.
     Answer(AnswerMessage),
     /// No answer, and why.
     Refusal(RefusalMessage),
@@ -76,26 +77,11 @@
 
 #[derive(Debug)]
 struct LinkState {
-    next_call: u32,
-    waiting: HashMap<u32, WaitingCall>,
-    is_closed: bool,
+    waiting: WaitingCalls,
     liveness: Liveness,
     peer_clock: Option<PeerClock>,
 }
 
-#[derive(Debug)]
-struct WaitingCall {
-    is_idempotent: bool,
-    reply: oneshot::Sender<Result<Reply, LinkError>>,
-}
-
-impl WaitingCall {
-    fn end(self, result: Result<Reply, LinkError>) {
-        // Fails only when nobody waits for the call any more: its deadline passed, or its caller left.
-        let _ = self.reply.send(result);
-    }
-}
-
 impl Link {
     /// A link to the node named `peer`, whose frames go to `sender`.
     #[must_use]
@@ -104,9 +90,7 @@
             peer: peer.to_owned(),
             sender: FrameSender::new(sender),
             state: Mutex::new(LinkState {
-                next_call: 1,
-                waiting: HashMap::new(),
-                is_closed: false,
+                waiting: WaitingCalls::new(),
                 liveness: Liveness::new(Instant::now()),
                 peer_clock: None,
             }),
@@ -159,11 +143,7 @@
         is_idempotent: bool,
     ) -> Result<LinkCall, LinkError> {
         let (reply, receiver) = oneshot::channel();
-        let waiting = WaitingCall {
-            is_idempotent,
-            reply,
-        };
-        let call = self.state().add(waiting)?;
+        let call = self.state().waiting.add(is_idempotent, reply)?;
         self.send(&Frame { call, message });
         Ok(LinkCall {
             link: self.clone(),
@@ -191,7 +171,7 @@
             Verdict::Suspect => self.suspect(&state),
             Verdict::GiveUpCalls => {
                 self.suspect(&state);
-                state.give_up_idempotent();
+                state.waiting.give_up_idempotent();
             }
             Verdict::Lost => self.unresponsive.notify_one(),
         }
@@ -228,10 +208,7 @@
 
     /// A call came back.
     pub(crate) fn complete(&self, call: u32, reply: Reply) {
-        let waiting = self.state().waiting.remove(&call);
-        if let Some(waiting) = waiting {
-            waiting.end(Ok(reply));
-        }
+        self.state().waiting.complete(call, reply);
     }
 
     /// Waits until the other node has been silent for so long that the link is to be closed.
@@ -254,11 +231,7 @@
 
     /// The connection is lost, and with it every call under way.
     pub(crate) fn close(&self) {
-        let mut state = self.state();
-        state.is_closed = true;
-        for (_, waiting) in state.waiting.drain() {
-            waiting.end(Err(LinkError::Lost));
-        }
+        self.state().waiting.close();
     }
 
     fn state(&self) -> MutexGuard<'_, LinkState> {
@@ -266,33 +239,12 @@
     }
 }
 
-impl LinkState {
-    /// Numbers a call and waits for its reply.
-    fn add(&mut self, waiting: WaitingCall) -> Result<u32, LinkError> {
-        if self.is_closed {
-            return Err(LinkError::NotSent);
-        }
-        let call = self.next_call;
-        // 0 stands for no call.
-        self.next_call = self.next_call.wrapping_add(1).max(1);
-        self.waiting.insert(call, waiting);
-        Ok(call)
-    }
-
-    fn give_up_idempotent(&mut self) {
-        let idempotent = |_: &u32, waiting: &mut WaitingCall| waiting.is_idempotent;
-        for (_, waiting) in self.waiting.extract_if(idempotent) {
-            waiting.end(Err(LinkError::Lost));
-        }
-    }
-}
-
 /// A call under way.
 #[derive(Debug)]
 pub struct LinkCall {
     link: Arc<Link>,
     call: u32,
-    receiver: oneshot::Receiver<Result<Reply, LinkError>>,
+    receiver: oneshot::Receiver<CallResult>,
 }
 
 impl LinkCall {
@@ -308,7 +260,7 @@
 
 impl Drop for LinkCall {
     fn drop(&mut self) {
-        let was_waiting = self.link.state().waiting.remove(&self.call).is_some();
+        let was_waiting = self.link.state().waiting.remove(self.call);
         // A call that was given up is not waiting any more, but may still run at the other node.
         let may_be_given_up = self.link.is_suspect();
         if was_waiting || may_be_given_up {
--- a/crates/tallybridge-mesh/src/protocol/answer.rs
+++ b/crates/tallybridge-mesh/src/protocol/answer.rs
@@ -11,7 +11,7 @@
     codec::{put_fields, take_bytes, take_fields},
 };
 
-/// The whole answer of a back end.
+/// The complete answer of a back end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AnswerMessage {
     /// Its HTTP status.
--- a/crates/tallybridge-mesh/src/protocol/call.rs
+++ b/crates/tallybridge-mesh/src/protocol/call.rs
@@ -28,7 +28,7 @@
     pub attempt: Bytes,
     /// Request line and header lines, without the empty line.
     pub head: Bytes,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
--- a/crates/tallybridge-mesh/src/protocol/message.rs
+++ b/crates/tallybridge-mesh/src/protocol/message.rs
@@ -19,7 +19,7 @@
     Nodes(Bytes),
     /// A call for the back end beside the receiver.
     Call(CallMessage),
-    /// The whole answer of a back end to a call.
+    /// The complete answer of a back end to a call.
     Answer(AnswerMessage),
     /// The call ended without an answer.
     Refusal(RefusalMessage),
