--- a/crates/tallybridge-mesh/src/listener/metrics.rs
+++ b/crates/tallybridge-mesh/src/listener/metrics.rs
@@ -66,7 +66,7 @@
             age,
         );
     }
-    let (suspects, held) = node.quarantine_sizes();
+    let quarantine = node.quarantine_counts();
     let gauges = [
         ("concurrency_limit", u64::from(load.limit)),
         ("calls_in_flight", u64::from(load.in_flight)),
@@ -83,8 +83,8 @@
         ("links_open", fleet.1 as u64),
         ("watches_store", u64::from(node.is_watcher())),
         ("peers_confirming", watch_view.confirming as u64),
-        ("requests_suspected", suspects as u64),
-        ("requests_held_back", held as u64),
+        ("requests_suspected", quarantine.suspects as u64),
+        ("requests_held_back", quarantine.quarantined as u64),
         ("requests_in_flight", node.requests_in_flight() as u64),
     ];
     for (name, value) in gauges {
--- a/crates/tallybridge-mesh/src/listener/peers.rs
+++ b/crates/tallybridge-mesh/src/listener/peers.rs
@@ -103,7 +103,7 @@
     send(&sender, Message::Clock { now_ms });
     send(&sender, Message::Status(node.status()));
     send_confirmation(&node, &sender);
-    for held in node.suspects_worth_keeping() {
+    for held in node.quarantine_snapshot() {
         send(&sender, Message::Quarantined(held));
     }
     let mut published = node.published();
@@ -187,7 +187,7 @@
         Message::Crash(report) => {
             node.record_crash(report);
         }
-        Message::Quarantined(held) => node.learn_quarantined(held),
+        Message::Quarantined(held) => node.merge_quarantined(held),
         Message::Cleared(digest) => node.clear_suspects(&[digest]),
         _ => {}
     }
--- a/crates/tallybridge-mesh/src/protocol/quarantine.rs
+++ b/crates/tallybridge-mesh/src/protocol/quarantine.rs
@@ -1,13 +1,16 @@
-//! What nodes tell each other of crashes of back ends and of the requests that may be why.
+//! Messages about crashes of back ends and about the requests that may have caused them.
+//!
+//! [`crate::tables::quarantine`] has the rule that they serve.
 
 use std::{fmt, time::Duration};
 
 use serde::{Deserialize, Serialize};
 
-/// Size of a digest, in bytes: enough that nobody can make a request with another's digest.
+/// Size of a digest in bytes: enough that nobody can construct a request with the digest of another.
 pub const DIGEST_BYTES: usize = 16;
 
-/// Digest of what a request asks for (SHA-256, its first half).
+/// Digest of the content of a request: the first half of a SHA-256. Its text form, in JSON and logs, is 32
+/// hexadecimal digits.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct RequestDigest(pub [u8; DIGEST_BYTES]);
@@ -32,7 +35,7 @@
     }
 }
 
-/// Text that is no digest.
+/// A text that is not a digest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("a digest has 32 hexadecimal digits")]
 pub struct MalformedDigest;
@@ -53,22 +56,22 @@
     }
 }
 
-/// A back end ended without notice, and these requests may be why.
+/// A back end crashed, and these requests may have caused it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashReport {
-    /// Which report: drawn at random by its node.
+    /// Random id, by which a report that arrives over several links counts once.
     pub id: u64,
-    /// Digests of what the back end was at work on.
+    /// Digests of the calls that the crash interrupted, without those of popular requests.
     pub suspects: Vec<RequestDigest>,
 }
 
-/// A request that is held back, or a suspect.
+/// A quarantined request, or a suspect that is one crash short of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuarantinedRequest {
-    /// Which.
+    /// Digest of the request, with or without the calling service.
     pub digest: RequestDigest,
-    /// Back ends that ended under it.
+    /// Crashes of which it was a suspect since it was last answered.
     pub crashes: u8,
-    /// For how long it is still held back; zero for a suspect that is not.
+    /// Time left of its quarantine; zero for a suspect.
     pub left: Duration,
 }
--- a/crates/tallybridge-mesh/src/tasks/links.rs
+++ b/crates/tallybridge-mesh/src/tasks/links.rs
@@ -130,7 +130,7 @@
     if node.wants_nodes() {
         link.send(&Frame::of_link(Message::FetchNodes));
     }
-    for held in node.suspects_worth_keeping() {
+    for held in node.quarantine_snapshot() {
         link.send(&Frame::of_link(Message::Quarantined(held)));
     }
     let writing = tokio::spawn(write_frames(writer, frames));
@@ -215,7 +215,7 @@
             node.peer_confirmed(address, confirmed);
         }
         Message::QuotaGrant(grant) => link.complete(frame.call, Reply::Quota(grant)),
-        Message::Quarantined(held) => node.learn_quarantined(held),
+        Message::Quarantined(held) => node.merge_quarantined(held),
         _ => {}
     }
 }
