--- a/crates/tallybridge-mesh/src/protocol/frame.rs
+++ b/crates/tallybridge-mesh/src/protocol/frame.rs
@@ -7,8 +7,8 @@
 
 /// Version of the protocol. Nodes refuse a peer that speaks another one.
 const PROTOCOL_VERSION: u8 = 8;
-/// Largest payload that is accepted, in bytes (80 MiB): above the 64 MiB that a body may have, with
-/// room for its head. Bounds what a peer that sends garbage can make this node allocate.
+/// Largest payload that is accepted, in bytes (80 MiB): the largest body of the default limits is 64
+/// MiB. Bounds what a peer that sends garbage can make this node allocate. Origin not recorded.
 const MAX_FRAME_BYTES: u32 = 80 << 20;
 /// Size of a [`FrameHeader`], in bytes.
 const HEADER_BYTES: usize = 10;
--- a/crates/tallybridge-mesh/src/protocol/quarantine.rs
+++ b/crates/tallybridge-mesh/src/protocol/quarantine.rs
@@ -1,4 +1,6 @@
-//! Crashes of back ends, and the requests that are suspected of them or quarantined.
+//! Messages about crashes of back ends and about the requests that may have caused them.
+//!
+//! [`crate::tables::quarantine`] has the rule that they serve.
 
 use std::{fmt, time::Duration};
 
@@ -8,11 +10,11 @@
 
 use super::codec::{put_fields, take_fields};
 
-/// Size of a digest, in bytes: 128 bits, so that nobody can craft a request with another's digest.
+/// Size of a digest in bytes: enough that nobody can construct a request with the digest of another.
 pub const DIGEST_BYTES: usize = 16;
 
-/// Digest of what a request asks for: the first half of a SHA-256. Written as 32 hexadecimal
-/// digits in logs and stored items.
+/// Digest of the content of a request: the first half of a SHA-256. Its text form, in JSON and logs, is 32
+/// hexadecimal digits.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct RequestDigest(pub [u8; DIGEST_BYTES]);
@@ -37,7 +39,7 @@
     }
 }
 
-/// Text that is no digest.
+/// A text that is not a digest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("a digest has 32 hexadecimal digits")]
 pub struct MalformedDigest;
@@ -61,20 +63,20 @@
 /// A back end crashed, and these requests may have caused it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashReport {
-    /// Number of the report, drawn at random by its sender, so that it is counted once.
+    /// Random id, by which a report that arrives over several links counts once.
     pub id: u64,
-    /// Digests of the requests that were under way at the back end.
+    /// Digests of the calls that the crash interrupted, without those of popular requests.
     pub suspects: Vec<RequestDigest>,
 }
 
-/// A request that is quarantined, or a suspect that is not quarantined yet.
+/// A quarantined request, or a suspect that is one crash short of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuarantinedRequest {
-    /// Digest of the request.
+    /// Digest of the request, with or without the calling service.
     pub digest: RequestDigest,
-    /// Back ends that crashed while they worked on it.
+    /// Crashes of which it was a suspect since it was last answered.
     pub crashes: u8,
-    /// Time until its quarantine ends; zero for a suspect.
+    /// Time left of its quarantine; zero for a suspect.
     pub left: Duration,
 }
 
--- a/crates/tallybridge-mesh/src/protocol/quota.rs
+++ b/crates/tallybridge-mesh/src/protocol/quota.rs
@@ -1,5 +1,6 @@
-//! Tokens of a tenant's quota: what an entry asks the quota's owner for, what the owner grants, and
-//! what owners have granted so far.
+//! Messages between an entry and the owner of a tenant's rate limit: what the entry asks for, what the
+//! owner grants, and what owners have granted so far. The rule:
+//! [`tables::quotas`](crate::tables::quotas).
 
 use std::time::Duration;
 
@@ -8,7 +9,7 @@
 
 use super::codec::{put_fields, take_bytes, take_fields};
 
-/// Asks the owner of a tenant's quota for tokens.
+/// Asks the owner of a tenant's rate limit for tokens.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QuotaAskMessage {
     /// The tenant's name.
@@ -19,7 +20,7 @@
     pub is_forwarded: bool,
 }
 
-/// What an entry asks the owner of a tenant's quota for.
+/// What an entry asks the owner of a tenant's rate limit for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QuotaAsk {
     /// The entry: the number of its process.
