--- a/crates/tallybridge-mesh/examples/crash_cost.rs
+++ b/crates/tallybridge-mesh/examples/crash_cost.rs
@@ -1,5 +1,4 @@
-//! What it costs a call to be known should its back end end: nanoseconds of one thread, medians of 21
-//! rounds.
+//! Cost of the quarantine to each call: nanoseconds of one thread, medians of 21 rounds.
 //!
 //! `cargo run --release -p tallybridge-mesh --example crash_cost`
 
@@ -66,12 +65,12 @@
 
 fn main() {
     let incarnation = Incarnation::new("i-1".into(), 1);
-    let mut exposed = DispatchedCalls::new(NAMES, BootInstant::now());
-    report("handed over and answered", |calls| {
+    let mut dispatched = DispatchedCalls::new(NAMES, BootInstant::now());
+    report("dispatched and answered", |calls| {
         let now = BootInstant::now();
         for call in calls {
-            let id = exposed.begin(call, &incarnation, now);
-            black_box(exposed.end(id, DispatchEnd::Answered, now));
+            let id = dispatched.begin(call, &incarnation, now);
+            black_box(dispatched.end(id, DispatchEnd::Answered, now));
         }
     });
     report("digests, while any request is a suspect", |calls| {
@@ -89,12 +88,12 @@
         id: 1,
         suspects: suspects.collect(),
     };
-    quarantine.take_in(&full, BootInstant::now());
+    quarantine.record_crash(&full, BootInstant::now());
     let digests = CallContent::of(&call(1), &NAMES).digests().both();
-    report("asked whether it is held back, full table", |calls| {
+    report("looked up, full table", |calls| {
         let now = BootInstant::now();
         for _ in calls {
-            black_box(quarantine.held(&digests, now));
+            black_box(quarantine.find(&digests, now));
         }
     });
 }
--- a/crates/tallybridge-mesh/src/listener/metrics.rs
+++ b/crates/tallybridge-mesh/src/listener/metrics.rs
@@ -77,7 +77,7 @@
     let status = node.status();
     let watch_view = node.watch_view();
     let (known, links) = node.with_peers(|peers| (peers.known_size(), peers.links().count()));
-    let (suspects, quarantined) = node.quarantine_sizes();
+    let quarantine = node.quarantine_counts();
     let failing_percent = (load.failing_share() * 100.0) as u64;
     [
         ("concurrency_limit", load.limit.into()),
@@ -92,8 +92,8 @@
         ("links_open", links as u64),
         ("watches_store", node.is_watcher().into()),
         ("peers_confirming", watch_view.confirming as u64),
-        ("requests_suspected", suspects as u64),
-        ("requests_held_back", quarantined as u64),
+        ("requests_suspected", quarantine.suspects as u64),
+        ("requests_held_back", quarantine.quarantined as u64),
         ("requests_in_flight", node.requests_in_flight() as u64),
     ]
 }
--- a/crates/tallybridge-mesh/src/listener/peers/mod.rs
+++ b/crates/tallybridge-mesh/src/listener/peers/mod.rs
@@ -96,7 +96,7 @@
         sender.send_message(Message::Clock(ClockMessage { now_ms }));
         sender.send_message(Message::Status(node.status()));
         self.send_confirmation();
-        for suspect in node.suspects_worth_keeping() {
+        for suspect in node.quarantine_snapshot() {
             sender.send_message(Message::Quarantined(suspect));
         }
     }
@@ -163,7 +163,7 @@
                 // What the store must keep of it is written by the node whose back end crashed.
                 node.record_crash(report);
             }
-            Message::Quarantined(suspect) => node.learn_quarantined(suspect),
+            Message::Quarantined(suspect) => node.merge_quarantined(suspect),
             Message::Cleared(digest) => node.clear_suspects(&[digest]),
             // The other kinds only go from the node that accepted a link to the one that opened it.
             _ => {}
--- a/crates/tallybridge-mesh/src/node/quarantine.rs
+++ b/crates/tallybridge-mesh/src/node/quarantine.rs
@@ -1,49 +1,59 @@
-//! What a node does when the back end beside it ends without notice, and how all nodes learn of it.
+//! Crashes of the back end beside this node, and the quarantine that all nodes share.
+//!
+//! [`crate::tables::quarantine`] has the rule. This file feeds it: it reports crashes, spreads reports and
+//! clearings by gossip, tracks dispatched calls, and refuses the quarantined ones. A node that starts gets the
+//! snapshot over each of its links and from the register.
 
 use std::sync::{Arc, atomic::Ordering};
 
+use rand::seq::IteratorRandom;
+use tallybridge_core::{ErrorKind, Refusal};
+
 use super::{Node, Tables};
 use crate::{
     clock::BootInstant,
     protocol::{CallMessage, CrashReport, Frame, Message, QuarantinedRequest, RequestDigest},
     tables::{
         EndedStart, Incarnation,
-        quarantine::{CallContent, DispatchEnd, DispatchId, InterruptedCalls},
+        quarantine::{CallContent, DispatchEnd, DispatchId, InterruptedCalls, QuarantineCounts},
     },
 };
-use rand::seq::IteratorRandom;
-use tallybridge_core::{ErrorKind, Refusal};
 
-/// Peers that a node passes news of crashes on to, drawn at random. With 12 each, one node in 160,000 is
-/// passed over by all others; it learns from the first link that it opens next.
-const PASSED_ON_TO: usize = 12;
+/// Links, drawn at random, over which a node passes on what was new to it. With 12 at each node, one node in
+/// 160,000 (e^-12) gets nothing; it learns from the next link that it opens (docs/design/quarantine.md, "Who
+/// knows").
+const GOSSIP_FANOUT: usize = 12;
 
-/// A back end that ended without notice.
+/// A crash of the back end beside this node.
 #[derive(Debug)]
 pub(super) struct Crash {
     incarnation: Incarnation,
-    exposure: InterruptedCalls,
+    interrupted: InterruptedCalls,
 }
 
 impl Crash {
-    /// A crash, if the back end was at work and had not said that it leaves.
-    fn of(incarnation: &Incarnation, exposure: InterruptedCalls, had_left: bool) -> Option<Self> {
-        let is_crash = exposure.calls > 0 && !had_left;
+    /// A crash, if the back end had calls and had not announced that it leaves.
+    fn of(
+        incarnation: &Incarnation,
+        interrupted: InterruptedCalls,
+        had_left: bool,
+    ) -> Option<Self> {
+        let is_crash = interrupted.calls > 0 && !had_left;
         is_crash.then(|| Self {
             incarnation: incarnation.clone(),
-            exposure,
+            interrupted,
         })
     }
 }
 
 impl Tables {
-    /// What the current start of the back end, which ended, had been handed; `None` where it had said
-    /// that it leaves, or where this is known already.
+    /// The crash of the current start of the back end, which is gone; `None` where it had announced that it
+    /// leaves, had no calls, or where this was asked before.
     pub(super) fn take_crash(&mut self, now: BootInstant) -> Option<Crash> {
         let incarnation = self.instance.current()?.clone();
         let had_left = self.instance.has_left(now.if_awake());
-        let exposure = self.exposed.take(&incarnation, now);
-        Crash::of(&incarnation, exposure, had_left)
+        let interrupted = self.dispatched.take_after_crash(&incarnation, now);
+        Crash::of(&incarnation, interrupted, had_left)
     }
 
     /// The same of a start after which the back end has started again under its id.
@@ -52,30 +62,31 @@
         ended: &EndedStart,
         now: BootInstant,
     ) -> Option<Crash> {
-        let exposure = self.exposed.take_restarted(&ended.incarnation, now);
-        Crash::of(&ended.incarnation, exposure, ended.had_left)
+        let interrupted = self.dispatched.take_after_restart(&ended.incarnation, now);
+        Crash::of(&ended.incarnation, interrupted, ended.had_left)
     }
 }
 
+/// Finding and reporting a crash.
 impl Node {
-    /// Waits until a call at the back end breaks off.
-    pub async fn call_broke(&self) {
-        self.call_broke.notified().await;
+    /// Waits until a call loses its connection to the back end.
+    pub async fn call_lost(&self) {
+        self.call_lost.notified().await;
     }
 
-    /// Whether calls were broken off and none goes on that began before: so it looks when a back end ends.
+    /// Whether calls lost their connections and none runs that began before, as after a crash.
     #[must_use]
-    pub fn have_all_calls_broken(&self) -> bool {
-        self.tables().exposed.all_broke()
+    pub fn is_crash_suspected(&self) -> bool {
+        self.tables().dispatched.is_crash_suspected()
     }
 
-    /// The back end lives: what broke off was a connection each.
-    pub fn absolve_broken_calls(&self) {
-        self.tables().exposed.absolve_broken();
+    /// The back end takes connections: the calls that lost theirs did not lose them in a crash.
+    pub fn backend_reachable(&self) {
+        self.tables().dispatched.backend_reachable();
     }
 
-    /// The back end refuses connections: it has ended.
-    pub fn backend_ended(&self) {
+    /// The back end refuses connections: its process is gone.
+    pub fn backend_gone(&self) {
         let crash = {
             let mut tables = self.tables();
             tables.take_crash(BootInstant::now())
@@ -86,42 +97,49 @@
         }
     }
 
-    /// Tells all nodes which requests may be why the back end ended.
+    /// Logs a crash and reports its suspects to all nodes.
     pub(super) fn report_crash(&self, crash: Crash) {
         let Crash {
             incarnation,
-            exposure,
+            interrupted,
         } = crash;
         self.counters.crashes.fetch_add(1, Ordering::Relaxed);
-        let digests: Vec<_> = exposure.suspects.iter().map(ToString::to_string).collect();
+        let digests: Vec<_> = interrupted
+            .suspects
+            .iter()
+            .map(ToString::to_string)
+            .collect();
         tracing::warn!(
             instance = incarnation.id(),
-            calls = exposure.calls,
-            popular = exposure.popular,
+            calls = interrupted.calls,
+            popular = interrupted.popular,
             suspects = digests.join(" "),
             "back end ended without notice"
         );
-        if exposure.suspects.is_empty() {
+        if interrupted.suspects.is_empty() {
             return;
         }
         let report = CrashReport {
             id: rand::random(),
-            suspects: exposure.suspects,
+            suspects: interrupted.suspects,
         };
         if self.record_crash(report) {
             self.quarantine_grew.notify_one();
         }
     }
+}
 
-    /// Takes in a report of a crash, and passes it on if it is news; `true` when there is more to be kept for
-    /// nodes that lose what they know.
+/// The quarantine of this node, kept equal to that of the others.
+impl Node {
+    /// Counts a report of a crash and passes it on, unless it was counted before. `true` when the snapshot has
+    /// changed for it, so that the stored one is out of date.
     pub fn record_crash(&self, report: CrashReport) -> bool {
         let now = BootInstant::now();
-        let held = self.tables().quarantine.take_in(&report, now);
-        let Some(held) = held else {
+        let quarantined = self.tables().quarantine.record_crash(&report, now);
+        let Some(quarantined) = quarantined else {
             return false;
         };
-        for request in &held {
+        for request in &quarantined {
             tracing::warn!(
                 digest = %request.digest,
                 crashes = request.crashes,
@@ -129,102 +147,98 @@
                 "request held back"
             );
         }
-        let kept = self.tables().quarantine.worth_keeping(now);
-        let is_kept = |suspect: &RequestDigest| kept.iter().any(|kept| kept.digest == *suspect);
-        let is_more = report.suspects.iter().any(is_kept);
-        self.pass_on(Message::Crash(report));
-        is_more
+        let snapshot = self.tables().quarantine.snapshot(now);
+        let is_in_snapshot =
+            |suspect: &RequestDigest| snapshot.iter().any(|request| request.digest == *suspect);
+        let has_grown = report.suspects.iter().any(is_in_snapshot);
+        self.gossip(Message::Crash(report));
+        has_grown
     }
 
-    /// Takes in what another node knows of a request, and passes that on if it is news.
-    pub fn learn_quarantined(&self, held: QuarantinedRequest) {
-        if self.tables().quarantine.learn(held, BootInstant::now()) {
-            self.pass_on(Message::Quarantined(held));
+    /// Merges what another node knows of a request, and passes it on if that changed the table.
+    pub fn merge_quarantined(&self, request: QuarantinedRequest) {
+        if self.tables().quarantine.merge(request, BootInstant::now()) {
+            self.gossip(Message::Quarantined(request));
         }
     }
 
-    /// A run of requests was answered, here or elsewhere: they are no suspects any more.
+    /// A run of a request was answered, here or elsewhere: its digests are no suspects any more.
     pub fn clear_suspects(&self, digests: &[RequestDigest]) {
         let now = BootInstant::now();
         for digest in digests {
             if self.tables().quarantine.clear(*digest, now) {
                 tracing::info!(%digest, "request cleared, a back end answered it");
-                self.pass_on(Message::Cleared(*digest));
+                self.gossip(Message::Cleared(*digest));
             }
         }
     }
 
-    fn pass_on(&self, message: Message) {
+    fn gossip(&self, message: Message) {
         let frame = Frame::of_link(message);
         let tables = self.tables();
         let links = tables.peers.links().map(|(_, link)| link);
-        for link in links.choose_multiple(&mut rand::rng(), PASSED_ON_TO) {
+        for link in links.choose_multiple(&mut rand::rng(), GOSSIP_FANOUT) {
             link.send(&frame);
         }
     }
 
-    /// Held requests and suspects of which a node that starts has to know.
+    /// The records that a node without a table needs.
     #[must_use]
-    pub fn suspects_worth_keeping(&self) -> Vec<QuarantinedRequest> {
-        self.tables().quarantine.worth_keeping(BootInstant::now())
+    pub fn quarantine_snapshot(&self) -> Vec<QuarantinedRequest> {
+        self.tables().quarantine.snapshot(BootInstant::now())
     }
 
-    /// All requests that are held back.
+    /// All requests that are quarantined, for tests: nothing in the program needs the list.
+    #[doc(hidden)]
     #[must_use]
     pub fn quarantined_requests(&self) -> Vec<QuarantinedRequest> {
-        self.tables().quarantine.all_held(BootInstant::now())
+        self.tables().quarantine.quarantined(BootInstant::now())
     }
 
-    /// Requests that are suspects, and those of them that are held back.
+    /// Requests that are suspects, and those of them that are quarantined.
     #[must_use]
-    pub fn quarantine_sizes(&self) -> (usize, usize) {
-        self.tables().quarantine.sizes(BootInstant::now())
+    pub fn quarantine_counts(&self) -> QuarantineCounts {
+        self.tables().quarantine.counts(BootInstant::now())
     }
 
-    /// Waits until there is more to be kept for a crash of the back end beside this node.
+    /// Waits until a crash of the back end beside this node has changed the snapshot.
     pub async fn quarantine_grew(&self) {
         self.quarantine_grew.notified().await;
     }
 
-    /// Forgets suspects and holds that are too old.
-    pub fn forget_suspects(&self) {
-        self.tables().quarantine.forget(BootInstant::now());
-    }
-
-    /// The digests of a call, if any request is a suspect.
-    fn digests_if_suspects(&self, call: &CallMessage) -> Option<[RequestDigest; 2]> {
-        let is_any = !self.tables().quarantine.is_empty();
-        is_any.then(|| CallContent::of(call, &self.names).digests().both())
+    /// Removes suspects and quarantined requests that are too old to be of use.
+    pub fn remove_expired_suspects(&self) {
+        self.tables().quarantine.remove_expired(BootInstant::now());
     }
+}
 
-    /// Refuses a request under which back ends ended.
+/// Calls that are about to be forwarded or dispatched.
+impl Node {
+    /// Refuses a call whose request is quarantined.
     ///
     /// # Errors
     ///
-    /// A refusal that says for how long it is held back.
+    /// [`ErrorKind::Quarantined`], with the time until this node releases the request.
     pub fn refuse_quarantined(&self, call: &CallMessage) -> Result<(), Refusal> {
         let Some(digests) = self.digests_if_suspects(call) else {
             return Ok(());
         };
-        let held = self.tables().quarantine.held(&digests, BootInstant::now());
-        match held {
-            None => Ok(()),
-            Some(QuarantinedRequest {
-                digest,
-                crashes,
-                left,
-            }) => {
-                let detail =
-                    format!("{crashes} back ends ended under this request, digest {digest}");
-                let refusal = Refusal::new(ErrorKind::Quarantined, detail);
-                Err(refusal.with_retry_after(left))
-            }
-        }
+        let found = self.tables().quarantine.find(&digests, BootInstant::now());
+        let Some(request) = found else {
+            return Ok(());
+        };
+        let QuarantinedRequest {
+            digest, crashes, ..
+        } = request;
+        let detail = format!("{crashes} back ends ended under this request, digest {digest}");
+        let refusal = Refusal::new(ErrorKind::Quarantined, detail);
+        Err(refusal.with_retry_after(request.left))
     }
 
-    /// A call is handed to the back end beside this node.
+    /// Tracks a call that is dispatched to the back end beside this node, until what is returned is ended or
+    /// dropped. A request that was quarantined begins its trial with it.
     #[must_use]
-    pub fn exposes_to(
+    pub fn track_dispatch(
         self: &Arc<Self>,
         call: &CallMessage,
         incarnation: &Incarnation,
@@ -232,7 +246,7 @@
         let digests = self.digests_if_suspects(call);
         let now = BootInstant::now();
         let mut tables = self.tables();
-        let id = tables.exposed.begin(call, incarnation, now);
+        let id = tables.dispatched.begin(call, incarnation, now);
         let trials = match &digests {
             Some(digests) => tables.quarantine.begin_trial(digests, now),
             None => Vec::new(),
@@ -240,17 +254,23 @@
         drop(tables);
         for trial in trials {
             tracing::info!(digest = %trial.digest, crashes = trial.crashes, "request tried again");
-            self.pass_on(Message::Quarantined(trial));
+            self.gossip(Message::Quarantined(trial));
         }
         DispatchedCall {
             node: self.clone(),
             id,
-            end: DispatchEnd::Withdrawn,
+            end: DispatchEnd::Cancelled,
         }
     }
+
+    /// The digests of a call, or `None` while no request at all is a suspect, which saves their cost.
+    fn digests_if_suspects(&self, call: &CallMessage) -> Option<[RequestDigest; 2]> {
+        let has_suspects = !self.tables().quarantine.is_empty();
+        has_suspects.then(|| CallContent::of(call, &self.names).digests().both())
+    }
 }
 
-/// A call at the back end. One that is dropped before its end was withdrawn.
+/// A call at the back end. One that is dropped without an end was cancelled.
 pub struct DispatchedCall {
     node: Arc<Node>,
     id: DispatchId,
@@ -269,16 +289,16 @@
         let node = &self.node;
         let answered = {
             let mut tables = node.tables();
-            let are_suspects = !tables.quarantine.is_empty();
-            let answered = tables.exposed.end(self.id, self.end, BootInstant::now());
-            answered.filter(|_| are_suspects)
+            let has_suspects = !tables.quarantine.is_empty();
+            let answered = tables.dispatched.end(self.id, self.end, BootInstant::now());
+            answered.filter(|_| has_suspects)
         };
         if let Some(answered) = answered {
             let digests = answered.content(&node.names).digests();
             node.clear_suspects(&digests.both());
         }
-        if self.end == DispatchEnd::Broken {
-            node.call_broke.notify_one();
+        if self.end == DispatchEnd::ConnectionLost {
+            node.call_lost.notify_one();
         }
     }
 }
--- a/crates/tallybridge-mesh/src/protocol/quarantine.rs
+++ b/crates/tallybridge-mesh/src/protocol/quarantine.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// Text that is no digest.
+/// A text that is not a digest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("a digest has 32 hexadecimal digits")]
 pub struct MalformedDigest;
--- a/crates/tallybridge-mesh/src/request/execute/mod.rs
+++ b/crates/tallybridge-mesh/src/request/execute/mod.rs
@@ -168,7 +168,7 @@
     };
     // Dropped last: the recorder's drop looks the running call up.
     let _running = node.begin_attempt(&call.attempt, parent);
-    let dispatched = node.exposes_to(call, &incarnation);
+    let dispatched = node.track_dispatch(call, &incarnation);
     let outcome = OutcomeRecorder::new(node, &call.attempt, deadline);
     let (result, end) = run_at_back_end(node, call, &incarnation, deadline).await;
     dispatched.end(end);
@@ -200,7 +200,7 @@
         ),
         Err(_) => {
             let refusal = Refusal::new(ErrorKind::BackendTimeout, "back end did not answer");
-            (Err(refusal), DispatchEnd::Withdrawn)
+            (Err(refusal), DispatchEnd::Cancelled)
         }
     }
 }
--- a/crates/tallybridge-mesh/src/request/execute/verdict.rs
+++ b/crates/tallybridge-mesh/src/request/execute/verdict.rs
@@ -80,7 +80,7 @@
 pub(super) const fn dispatch_end(stage: ExchangeStage) -> DispatchEnd {
     match stage {
         ExchangeStage::NotSent => DispatchEnd::NotRun,
-        ExchangeStage::Sent => DispatchEnd::Broken,
+        ExchangeStage::Sent => DispatchEnd::ConnectionLost,
     }
 }
 
--- a/crates/tallybridge-mesh/src/run.rs
+++ b/crates/tallybridge-mesh/src/run.rs
@@ -159,7 +159,7 @@
         node.tick();
         if Instant::now() >= prune_at {
             node.backend.prune();
-            node.forget_suspects();
+            node.remove_expired_suspects();
             prune_at = Instant::now() + PRUNE;
         }
     }
--- a/crates/tallybridge-mesh/src/tables/quarantine/digest.rs
+++ b/crates/tallybridge-mesh/src/tables/quarantine/digest.rs
@@ -1,8 +1,8 @@
-//! Which requests are the same.
+//! The identity of a request.
 //!
-//! Two attempts are the same request if they ask for the same with the same words: tenant, host,
-//! request line and body. The name of the attempt, the time left and other header lines differ from
-//! one attempt to the next. Nodes keep and tell digests only, never what a request holds.
+//! Two attempts are the same request if tenant, host, request line and body are equal byte by byte. The id of
+//! the attempt, the time left and other header fields differ from one attempt to the next. Nodes store, send
+//! and log digests only, never the content of a request.
 
 use sha2::{Digest, Sha256};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -12,34 +12,33 @@
     protocol::{CallMessage, DIGEST_BYTES, RequestDigest},
 };
 
-/// The two digests by which a request is known: whether it ends back ends may depend on the service
-/// that makes it, or may not.
+/// The two digests of a request: whether it crashes back ends may depend on the service that calls, or not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestDigests {
-    /// Of what is asked, whoever asks.
+    /// Of the content alone, whichever service calls.
     pub content: RequestDigest,
-    /// Of that and of the service that asks.
+    /// Of the content and the calling service.
     pub from_caller: RequestDigest,
 }
 
 impl RequestDigests {
-    /// Both, the one of what is asked first.
+    /// Both, the one of the content alone first.
     #[must_use]
     pub const fn both(self) -> [RequestDigest; 2] {
         [self.content, self.from_caller]
     }
 }
 
-/// Short hashes in the place of the digests, for what stays within one process.
+/// Short hashes in place of the digests, cheap to make, for tables that stay within one process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ContentHashes {
-    /// Of what is asked.
+    /// Of the content alone, whichever service calls.
     pub content: u64,
-    /// Of that and of the service that asks.
+    /// Of the content and the calling service.
     pub from_caller: u64,
 }
 
-/// What a call asks for, and who asks.
+/// The parts of a call that make up its identity, borrowed from its bytes.
 #[derive(Debug, Clone, Copy)]
 pub struct CallContent<'a> {
     request_line: &'a [u8],
@@ -50,17 +49,19 @@
 }
 
 impl<'a> CallContent<'a> {
-    /// The content of a call that is on its way to an executor or has come there.
+    /// The content of a call as it travels between nodes.
     #[must_use]
     pub fn of(call: &'a CallMessage, names: &HeaderNames) -> Self {
         Self::of_parts(&call.head, &call.body, names)
     }
 
-    /// The content of a call by the head and body that its back end gets.
+    /// The content of a call by the head and body that its back end gets. A head without a line, host, tenant
+    /// or caller has an empty part in its place.
     #[must_use]
     pub fn of_parts(head: &'a [u8], body: &'a [u8], names: &HeaderNames) -> Self {
         let mut lines = head.split(|byte| *byte == b'\n');
-        let request_line = lines.next().unwrap_or_default();
+        // A split always has a first part.
+        let request_line = lines.next().unwrap_or(b"");
         let mut content = Self {
             request_line,
             host: b"",
@@ -85,17 +86,17 @@
         content
     }
 
-    /// What is asked, part by part.
+    /// The parts apart from the calling service.
     const fn parts(&self) -> [&'a [u8]; 4] {
         [self.tenant, self.host, self.request_line, self.body]
     }
 
-    /// The digests by which all nodes know the request.
+    /// Digests that are the same at all nodes.
     #[must_use]
     pub fn digests(&self) -> RequestDigests {
         let mut hasher = Sha256::new();
         for part in self.parts() {
-            // Lengths keep parts apart: no two requests run into the same bytes.
+            // With its length before each part, different parts never hash the same bytes.
             hasher.update((part.len() as u64).to_be_bytes());
             hasher.update(part);
         }
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Hashes that only this process can make, by a secret of its own.
+    /// Hashes by a secret of this process, so that a caller can't work out requests that collide.
     #[must_use]
     pub fn hashes(&self, secret: u64) -> ContentHashes {
         let parts = self.parts();
@@ -123,8 +124,8 @@
 }
 
 fn first_half(hasher: Sha256) -> RequestDigest {
-    let whole = hasher.finalize();
+    let hash = hasher.finalize();
     let mut digest = [0; DIGEST_BYTES];
-    digest.copy_from_slice(&whole[..DIGEST_BYTES]);
+    digest.copy_from_slice(&hash[..DIGEST_BYTES]);
     RequestDigest(digest)
 }
--- a/crates/tallybridge-mesh/src/tasks/links.rs
+++ b/crates/tallybridge-mesh/src/tasks/links.rs
@@ -171,7 +171,7 @@
     if node.wants_nodes() {
         link.send(&Frame::of_link(Message::FetchNodes));
     }
-    for suspect in node.suspects_worth_keeping() {
+    for suspect in node.quarantine_snapshot() {
         link.send(&Frame::of_link(Message::Quarantined(suspect)));
     }
 }
@@ -196,7 +196,7 @@
         Message::Confirmed(confirmation) => {
             node.peer_confirmed(address, confirmed(link, confirmation));
         }
-        Message::Quarantined(suspect) => node.learn_quarantined(suspect),
+        Message::Quarantined(suspect) => node.merge_quarantined(suspect),
         // The other kinds only go from the node that opened a link to the one that accepted it.
         _ => {}
     }
--- a/crates/tallybridge-mesh/src/tasks/registry.rs
+++ b/crates/tallybridge-mesh/src/tasks/registry.rs
@@ -14,7 +14,7 @@
 
 use super::{
     backoff::count_store_call,
-    stored_quarantine::{HOLDS_PREFIX, StoredQuarantine},
+    stored_quarantine::{QUARANTINE_PREFIX, StoredQuarantine},
 };
 use crate::{
     log::rate_limit::LogRateLimit, node::Node, platform::StoreError, protocol::NodeRecord,
@@ -55,7 +55,7 @@
             let own = registry_name(&node.record.node);
             self.is_large = !read_from(node, &own).await?;
             // Quarantined requests stand behind all nodes, where a read that ends before does not get.
-            read_from(node, HOLDS_PREFIX).await?;
+            read_from(node, QUARANTINE_PREFIX).await?;
         }
         node.registry_read();
         Ok(())
@@ -106,7 +106,7 @@
     for entry in entries {
         match serde_json::from_slice(entry) {
             Ok(Registered::Node(record)) => nodes.push(record),
-            Ok(Registered::Quarantine(stored)) => stored.take_in(node),
+            Ok(Registered::Quarantine(stored)) => stored.merge_into(node),
             Err(error) => log_unreadable(entry, &error),
         }
     }
--- a/crates/tallybridge-mesh/src/tasks/stored_quarantine.rs
+++ b/crates/tallybridge-mesh/src/tasks/stored_quarantine.rs
@@ -1,11 +1,13 @@
-//! Held requests in the store, so that they outlive the loss of all nodes.
+//! Stores the quarantine in the register, so that it outlasts the loss of all nodes.
 //!
-//! The node beside a back end whose crash made a request held, or all but held, writes all such requests into
-//! the register, behind the nodes. Whoever reads the register learns of them, so a node that starts needs no
-//! call of its own.
+//! The node beside the back end that crashed last writes the snapshot of its table as one entry, under its own
+//! lease and behind the entries of the nodes. Whoever reads the register reads it too, so a node that starts
+//! needs no call of its own to the store. The entry is renewed while the snapshot is not empty and written
+//! anew when a crash adds to it. While the store is down, peers pass the quarantine on.
 
 use std::{sync::Arc, time::Duration};
 
+use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use tokio::time::{sleep, timeout};
 
@@ -16,83 +18,86 @@
     protocol::{QuarantinedRequest, RequestDigest},
 };
 
-/// Begins the names under which holds are registered: after those of nodes, which begin with a digit or
+/// First character of the names of these entries: it sorts after those of nodes, which begin with a digit or
 /// a letter.
-pub const HOLDS_PREFIX: &str = "~";
-/// Life of an entry without renewal: the longest that the store grants.
+pub const QUARANTINE_PREFIX: &str = "~";
+/// Lease of an entry, the longest that the platform's store grants.
 const LEASE: Duration = Duration::from_secs(600);
-/// Time between renewals.
+/// Time between renewals: two fit into a lease. Origin not recorded.
 const RENEWAL: Duration = Duration::from_secs(240);
-/// Time in which further holds of one series of crashes are written with the first.
+/// Wait before an entry is written, so that one write has all requests of a series of crashes. Origin not recorded.
 const GATHER: Duration = Duration::from_millis(150);
 
-/// A held request, or a suspect, as it is stored.
+/// An entry of the register: the snapshot of one node.
+#[derive(Debug, Serialize, Deserialize)]
+pub struct StoredQuarantine {
+    #[serde(rename = "held")]
+    requests: Vec<StoredRequest>,
+}
+
+/// A quarantined request, or a suspect, in its stored form.
 #[derive(Debug, Serialize, Deserialize)]
 struct StoredRequest {
+    /// 32 hexadecimal digits.
     digest: RequestDigest,
     crashes: u8,
+    /// Time left of the quarantine when the entry was written, in milliseconds; 0 for a suspect.
     left_ms: u64,
 }
 
-/// An entry of the register.
-#[derive(Debug, Serialize, Deserialize)]
-pub struct StoredQuarantine {
-    held: Vec<StoredRequest>,
-}
-
 impl StoredQuarantine {
-    fn of(held: &[QuarantinedRequest]) -> Self {
-        let held = held.iter().map(|held| StoredRequest {
-            digest: held.digest,
-            crashes: held.crashes,
-            left_ms: u64::try_from(held.left.as_millis()).unwrap_or(u64::MAX),
+    fn of(snapshot: &[QuarantinedRequest]) -> Self {
+        let requests = snapshot.iter().map(|request| StoredRequest {
+            digest: request.digest,
+            crashes: request.crashes,
+            left_ms: u64::try_from(request.left.as_millis()).unwrap_or(u64::MAX),
         });
         Self {
-            held: held.collect(),
+            requests: requests.collect(),
         }
     }
 
-    /// Takes in what another node stored. A hold that was stored a while ago is counted from its reading,
-    /// so it lasts longer here by that time.
-    pub fn take_in(&self, node: &Node) {
-        for hold in &self.held {
-            node.learn_quarantined(QuarantinedRequest {
-                digest: hold.digest,
-                crashes: hold.crashes,
-                left: Duration::from_millis(hold.left_ms),
+    /// Merges the entry of another node. The time left counts from now, so a quarantine lasts longer here by
+    /// the age of the entry.
+    pub fn merge_into(&self, node: &Node) {
+        for request in &self.requests {
+            node.merge_quarantined(QuarantinedRequest {
+                digest: request.digest,
+                crashes: request.crashes,
+                left: Duration::from_millis(request.left_ms),
             });
         }
     }
 }
 
-/// Stores what is held whenever a crash of the own back end adds to it, and renews that.
+/// Stores the quarantine whenever a crash of the own back end adds to it, and renews the entry.
 pub async fn store_quarantine(node: Arc<Node>) {
     loop {
         node.quarantine_grew().await;
-        while let Err(reason) = store_until_over(&node).await {
+        while let Err(reason) = store_until_empty(&node).await {
             tracing::warn!(%reason, "held requests are not stored, peers hold them back meanwhile");
         }
     }
 }
 
-async fn store_until_over(node: &Node) -> Result<(), StoreError> {
+async fn store_until_empty(node: &Node) -> Result<(), StoreError> {
     let mut backoff = Backoff::new();
     loop {
         sleep(GATHER).await;
-        let held = node.suspects_worth_keeping();
-        if held.is_empty() {
+        let snapshot = node.quarantine_snapshot();
+        if snapshot.is_empty() {
             return Ok(());
         }
-        let lease = match store(node, &held).await {
+        let lease = match store(node, &snapshot).await {
             Ok(lease) => lease,
             Err(reason) => {
                 backoff.wait().await;
                 return Err(reason);
             }
         };
-        // Written anew when there is more, renewed until then.
+        // Renewed until a crash adds to the snapshot, then written anew.
         while timeout(RENEWAL, node.quarantine_grew()).await.is_err() {
-            if node.suspects_worth_keeping().is_empty() {
+            if node.quarantine_snapshot().is_empty() {
                 return Ok(());
             }
             count_store_call(node);
@@ -101,11 +106,20 @@
     }
 }
 
-async fn store(node: &Node, held: &[QuarantinedRequest]) -> Result<u64, StoreError> {
+async fn store(node: &Node, snapshot: &[QuarantinedRequest]) -> Result<u64, StoreError> {
     count_store_call(node);
-    let name = format!("{HOLDS_PREFIX}held-{}", node.record.node);
-    // Plain fields always have a JSON form.
-    let entry = serde_json::to_vec(&StoredQuarantine::of(held)).unwrap_or_default();
-    let registering = node.platform.register(&name, entry.into(), LEASE, None);
+    let name = format!("{QUARANTINE_PREFIX}held-{}", node.record.node);
+    let registering = node.platform.register(&name, encode(snapshot), LEASE, None);
     registering.await
 }
+
+fn encode(snapshot: &[QuarantinedRequest]) -> Bytes {
+    match serde_json::to_vec(&StoredQuarantine::of(snapshot)) {
+        Ok(json) => json.into(),
+        Err(error) => {
+            // Numbers and texts always have a JSON form.
+            tracing::error!(%error, "quarantine can't be encoded, an empty entry is stored");
+            Bytes::new()
+        }
+    }
+}
--- a/crates/tallybridge-mesh/tests/crashes.rs
+++ b/crates/tallybridge-mesh/tests/crashes.rs
@@ -1,5 +1,5 @@
 //! Which requests are the same, which calls are suspects when a back end ends, and which requests are
-//! held back for it.
+//! quarantined for it.
 
 mod support;
 
@@ -158,7 +158,7 @@
 }
 
 /// Calls at one back end, by the letter of what they ask for.
-struct Exposed {
+struct Dispatched {
     calls: DispatchedCalls,
     incarnation: Incarnation,
     now: BootInstant,
@@ -169,7 +169,7 @@
     Incarnation::new(id.into(), 1)
 }
 
-impl Exposed {
+impl Dispatched {
     fn new() -> Self {
         let now = BootInstant::now();
         Self {
@@ -189,12 +189,12 @@
 
     /// Whether the request of a body is a suspect when the instance ends.
     fn suspects(&mut self, instance: &str, bodies: &[&str]) -> Vec<bool> {
-        let exposure = self.calls.take(&start_of(instance), self.now);
+        let interrupted = self.calls.take_after_crash(&start_of(instance), self.now);
         let is_suspect = |body: &&str| {
             let digests = Asked { body, ..ASKED }.digests();
             digests
                 .iter()
-                .all(|digest| exposure.suspects.contains(digest))
+                .all(|digest| interrupted.suspects.contains(digest))
         };
         bodies.iter().map(is_suspect).collect()
     }
@@ -202,125 +202,139 @@
 
 #[test]
 fn what_was_broken_off_or_just_withdrawn_is_a_suspect_and_nothing_else() {
-    let mut exposed = Exposed::new();
-    exposed.run("broken", DispatchEnd::Broken);
-    exposed.run("withdrawn", DispatchEnd::Withdrawn);
-    exposed.run("answered", DispatchEnd::Answered);
-    exposed.run("refused", DispatchEnd::NotRun);
+    let mut dispatched = Dispatched::new();
+    dispatched.run("broken", DispatchEnd::ConnectionLost);
+    dispatched.run("withdrawn", DispatchEnd::Cancelled);
+    dispatched.run("answered", DispatchEnd::Answered);
+    dispatched.run("refused", DispatchEnd::NotRun);
     let bodies = ["broken", "withdrawn", "answered", "refused"];
-    assert_eq!(exposed.suspects("i-1", &bodies), [true, true, false, false]);
-    assert_eq!(exposed.suspects("i-1", &bodies), [false; 4], "told once");
+    assert_eq!(
+        dispatched.suspects("i-1", &bodies),
+        [true, true, false, false]
+    );
+    assert_eq!(dispatched.suspects("i-1", &bodies), [false; 4], "told once");
 }
 
 #[test]
 fn what_another_instance_ran_or_was_long_ago_is_no_suspect() {
-    let mut exposed = Exposed::new();
-    exposed.run("broken", DispatchEnd::Broken);
-    assert_eq!(exposed.suspects("i-2", &["broken"]), [false]);
-    exposed.run("withdrawn", DispatchEnd::Withdrawn);
-    exposed.now += 2 * SECOND;
-    exposed.run("broken", DispatchEnd::Broken);
+    let mut dispatched = Dispatched::new();
+    dispatched.run("broken", DispatchEnd::ConnectionLost);
+    assert_eq!(dispatched.suspects("i-2", &["broken"]), [false]);
+    dispatched.run("withdrawn", DispatchEnd::Cancelled);
+    dispatched.now += 2 * SECOND;
+    dispatched.run("broken", DispatchEnd::ConnectionLost);
     let bodies = ["withdrawn", "broken"];
-    assert_eq!(exposed.suspects("i-1", &bodies), [false, true]);
+    assert_eq!(dispatched.suspects("i-1", &bodies), [false, true]);
 }
 
 #[test]
 fn a_back_end_at_which_a_call_goes_on_does_not_look_ended() {
-    let mut exposed = Exposed::new();
-    assert!(!exposed.calls.all_broke());
+    let mut dispatched = Dispatched::new();
+    assert!(!dispatched.calls.is_crash_suspected());
     let message = ASKED.message();
-    let id = exposed
+    let id = dispatched
+        .calls
+        .begin(&message, &dispatched.incarnation, dispatched.now);
+    dispatched.run("broken", DispatchEnd::ConnectionLost);
+    assert!(!dispatched.calls.is_crash_suspected(), "one goes on");
+    dispatched
         .calls
-        .begin(&message, &exposed.incarnation, exposed.now);
-    exposed.run("broken", DispatchEnd::Broken);
-    assert!(!exposed.calls.all_broke(), "one goes on");
-    exposed.calls.end(id, DispatchEnd::Broken, exposed.now);
-    assert!(exposed.calls.all_broke());
-    exposed.now += Duration::from_millis(1);
-    exposed
+        .end(id, DispatchEnd::ConnectionLost, dispatched.now);
+    assert!(dispatched.calls.is_crash_suspected());
+    dispatched.now += Duration::from_millis(1);
+    dispatched
         .calls
-        .begin(&message, &exposed.incarnation, exposed.now);
+        .begin(&message, &dispatched.incarnation, dispatched.now);
     assert!(
-        exposed.calls.all_broke(),
+        dispatched.calls.is_crash_suspected(),
         "the new one finds out for itself"
     );
-    exposed.calls.absolve_broken();
-    assert!(!exposed.calls.all_broke());
-    assert_eq!(exposed.suspects("i-1", &["broken"]), [false], "it lives");
+    dispatched.calls.backend_reachable();
+    assert!(!dispatched.calls.is_crash_suspected());
+    assert_eq!(dispatched.suspects("i-1", &["broken"]), [false], "it lives");
 }
 
 #[test]
 fn a_start_under_the_same_id_shows_that_the_back_end_ended_though_it_was_back_at_once() {
-    let mut exposed = Exposed::new();
-    exposed.run("broken", DispatchEnd::Broken);
+    let mut dispatched = Dispatched::new();
+    dispatched.run("broken", DispatchEnd::ConnectionLost);
     // A connection went through right after: the next start had it already.
-    exposed.calls.absolve_broken();
+    dispatched.calls.backend_reachable();
     let later = Asked {
         body: "later",
         ..ASKED
     };
     let next = Incarnation::new("i-1".into(), 2);
-    exposed.calls.begin(&later.message(), &next, exposed.now);
+    dispatched
+        .calls
+        .begin(&later.message(), &next, dispatched.now);
     let open = Asked {
         body: "open",
         ..ASKED
     };
-    let before = &exposed.incarnation.clone();
-    exposed.calls.begin(&open.message(), before, exposed.now);
-    let exposure = exposed.calls.take_restarted(before, exposed.now);
+    let before = &dispatched.incarnation.clone();
+    dispatched
+        .calls
+        .begin(&open.message(), before, dispatched.now);
+    let interrupted = dispatched.calls.take_after_restart(before, dispatched.now);
     let is_suspect = |body| {
         let digests = Asked { body, ..ASKED }.digests();
         digests
             .iter()
-            .all(|digest| exposure.suspects.contains(digest))
+            .all(|digest| interrupted.suspects.contains(digest))
     };
     assert!(is_suspect("open"), "it was at work on it");
     assert!(!is_suspect("broken"), "its end shows at another call");
     assert!(!is_suspect("later"), "that is at the next start");
-    assert_eq!(exposure.calls, 1);
+    assert_eq!(interrupted.calls, 1);
 }
 
 #[test]
 fn what_broke_off_before_the_back_end_was_back_is_a_suspect_if_nothing_else_is() {
-    let mut exposed = Exposed::new();
-    exposed.run("broken", DispatchEnd::Broken);
-    exposed.calls.absolve_broken();
-    let before = exposed.incarnation.clone();
-    let exposure = exposed.calls.take_restarted(&before, exposed.now);
-    assert_eq!(exposure.calls, 1);
+    let mut dispatched = Dispatched::new();
+    dispatched.run("broken", DispatchEnd::ConnectionLost);
+    dispatched.calls.backend_reachable();
+    let before = dispatched.incarnation.clone();
+    let interrupted = dispatched.calls.take_after_restart(&before, dispatched.now);
+    assert_eq!(interrupted.calls, 1);
 }
 
 #[test]
 fn a_request_that_was_answered_often_lately_is_no_suspect_of_the_next_crash() {
-    let mut exposed = Exposed::new();
+    let mut dispatched = Dispatched::new();
     for _ in 0..3 {
-        exposed.run("popular", DispatchEnd::Answered);
+        dispatched.run("popular", DispatchEnd::Answered);
     }
-    exposed.run("popular", DispatchEnd::Broken);
-    exposed.run("popular", DispatchEnd::Broken);
-    exposed.run("deadly", DispatchEnd::Broken);
+    dispatched.run("popular", DispatchEnd::ConnectionLost);
+    dispatched.run("popular", DispatchEnd::ConnectionLost);
+    dispatched.run("deadly", DispatchEnd::ConnectionLost);
     let bodies = ["popular", "deadly"];
-    assert_eq!(exposed.suspects("i-1", &bodies), [false, true]);
+    assert_eq!(dispatched.suspects("i-1", &bodies), [false, true]);
     // It may have begun to end back ends just now: it is cleared by what was before once only.
-    exposed.run("popular", DispatchEnd::Broken);
-    assert_eq!(exposed.suspects("i-1", &["popular"]), [true]);
+    dispatched.run("popular", DispatchEnd::ConnectionLost);
+    assert_eq!(dispatched.suspects("i-1", &["popular"]), [true]);
 }
 
 #[test]
 fn a_caller_s_own_request_is_a_suspect_though_the_same_of_others_is_answered() {
-    let mut exposed = Exposed::new();
+    let mut dispatched = Dispatched::new();
     let others = Asked {
         caller: "ledger",
         ..ASKED
     };
     for _ in 0..3 {
-        let id = exposed
+        let id = dispatched
             .calls
-            .begin(&others.message(), &exposed.incarnation, exposed.now);
-        exposed.calls.end(id, DispatchEnd::Answered, exposed.now);
+            .begin(&others.message(), &dispatched.incarnation, dispatched.now);
+        dispatched
+            .calls
+            .end(id, DispatchEnd::Answered, dispatched.now);
     }
-    exposed.run(ASKED.body, DispatchEnd::Broken);
-    let suspects = exposed.calls.take(&start_of("i-1"), exposed.now).suspects;
+    dispatched.run(ASKED.body, DispatchEnd::ConnectionLost);
+    let suspects = dispatched
+        .calls
+        .take_after_crash(&start_of("i-1"), dispatched.now)
+        .suspects;
     let [content, from_caller] = ASKED.digests();
     assert!(!suspects.contains(&content), "others are answered");
     assert!(suspects.contains(&from_caller));
@@ -349,19 +363,19 @@
             suspects: suspects.to_vec(),
         };
         self.quarantine
-            .take_in(&report, self.now)
+            .record_crash(&report, self.now)
             .expect("a new report")
     }
 
     fn is_quarantined(&self, digest: RequestDigest) -> bool {
-        self.quarantine.held(&[digest], self.now).is_some()
+        self.quarantine.find(&[digest], self.now).is_some()
     }
 
     /// Time until it is released.
     fn release(&mut self, digest: RequestDigest) -> Duration {
         let held = self
             .quarantine
-            .held(&[digest], self.now)
+            .find(&[digest], self.now)
             .expect("it is held");
         self.now += held.left;
         assert!(!self.is_quarantined(digest));
@@ -370,7 +384,7 @@
 }
 
 #[test]
-fn a_suspect_of_three_crashes_is_held_back() {
+fn a_suspect_of_three_crashes_is_quarantined() {
     let mut table = Table::new();
     for crash in 1..=CRASHES_TO_QUARANTINE {
         assert!(!table.is_quarantined(digest(1)));
@@ -379,7 +393,7 @@
     }
     assert!(table.is_quarantined(digest(1)));
     assert!(!table.is_quarantined(digest(2)));
-    assert_eq!(table.quarantine.all_held(table.now).len(), 1);
+    assert_eq!(table.quarantine.quarantined(table.now).len(), 1);
 }
 
 #[test]
@@ -389,9 +403,9 @@
         id: 7,
         suspects: vec![digest(1)],
     };
-    assert!(table.quarantine.take_in(&report, table.now).is_some());
+    assert!(table.quarantine.record_crash(&report, table.now).is_some());
     for _ in 0..3 {
-        assert!(table.quarantine.take_in(&report, table.now).is_none());
+        assert!(table.quarantine.record_crash(&report, table.now).is_none());
     }
     assert!(!table.is_quarantined(digest(1)));
 }
@@ -411,7 +425,7 @@
         crashes: 3,
         left: 30 * SECOND,
     };
-    assert!(!table.quarantine.learn(late, table.now));
+    assert!(!table.quarantine.merge(late, table.now));
     table.crash(&[digest(1)]);
     assert!(!table.is_quarantined(digest(1)), "counted from anew");
 }
@@ -429,7 +443,7 @@
         if table.now >= began + 86_400 * SECOND {
             break;
         }
-        table.quarantine.forget(table.now);
+        table.quarantine.remove_expired(table.now);
         let trial = table.quarantine.begin_trial(&[digest(1)], table.now);
         assert_eq!(trial.len(), 1);
         assert!(table.is_quarantined(digest(1)), "held while it is tried");
@@ -447,7 +461,7 @@
         crashes: 200,
         left: Duration::from_millis(u64::MAX),
     };
-    assert!(table.quarantine.learn(held, table.now));
+    assert!(table.quarantine.merge(held, table.now));
     assert!(table.release(digest(1)) <= 2 * 86_400 * SECOND);
 }
 
@@ -459,8 +473,8 @@
         crashes: 3,
         left: 30 * SECOND,
     };
-    assert!(table.quarantine.learn(held, table.now));
-    assert!(!table.quarantine.learn(held, table.now));
+    assert!(table.quarantine.merge(held, table.now));
+    assert!(!table.quarantine.merge(held, table.now));
     assert!(table.is_quarantined(digest(1)));
 }
 
@@ -469,7 +483,7 @@
     let mut table = Table::new();
     table.crash(&[digest(1), digest(2)]);
     table.crash(&[digest(1)]);
-    let kept = table.quarantine.worth_keeping(table.now);
+    let kept = table.quarantine.snapshot(table.now);
     let told: Vec<_> = kept
         .iter()
         .map(|kept| (kept.digest, kept.crashes))
@@ -477,7 +491,7 @@
     assert_eq!(told, [(digest(1), 2)], "one crash says little");
     let mut started = Table::new();
     started.now = table.now;
-    assert!(started.quarantine.learn(kept[0], started.now));
+    assert!(started.quarantine.merge(kept[0], started.now));
     assert!(!started.is_quarantined(digest(1)));
     started.crash(&[digest(1)]);
     assert!(started.is_quarantined(digest(1)));
@@ -488,7 +502,7 @@
     let mut table = Table::new();
     table.crash(&[digest(1)]);
     table.now += 121 * SECOND;
-    table.quarantine.forget(table.now);
+    table.quarantine.remove_expired(table.now);
     assert!(table.quarantine.is_empty());
 }
 
@@ -501,15 +515,18 @@
     for number in 1..10_000 {
         table.crash(&[digest(number)]);
     }
-    let (all, held) = table.quarantine.sizes(table.now);
-    assert_eq!((all, held), (4096, 1));
+    let counts = table.quarantine.counts(table.now);
+    assert_eq!((counts.suspects, counts.quarantined), (4096, 1));
     for number in 1..1000 {
         for _ in 0..3 {
             table.crash(&[digest(number)]);
         }
     }
-    let (all, held) = table.quarantine.sizes(table.now);
-    assert!(all <= 4096 && held <= 256, "{all} suspects, {held} held");
+    let counts = table.quarantine.counts(table.now);
+    assert!(
+        counts.suspects <= 4096 && counts.quarantined <= 256,
+        "{counts:?}"
+    );
     assert!(
         table.is_quarantined(digest(0)),
         "it ended more than the others"
--- a/crates/tallybridge-mesh/tests/decisions.rs
+++ b/crates/tallybridge-mesh/tests/decisions.rs
@@ -321,24 +321,24 @@
                     id: step,
                     suspects: vec![digest],
                 };
-                let held = quarantine.take_in(&report, now);
+                let held = quarantine.record_crash(&report, now);
                 decisions.note(held.map(|held| held.iter().map(plain).collect::<Vec<_>>()));
             }
             3 => decisions.note(quarantine.clear(digest, now)),
-            4 => quarantine.forget(now),
+            4 => quarantine.remove_expired(now),
             5 => {
                 let held = QuarantinedRequest {
                     digest,
                     crashes: random.random_range(1..5),
                     left: Duration::from_secs(random.random_range(0..40)),
                 };
-                decisions.note(quarantine.learn(held, now));
+                decisions.note(quarantine.merge(held, now));
             }
             _ => {}
         }
         // A node releases a request up to a fifth of its hold late, by chance: what is sure is that none
         // is released before.
-        let mut held: Vec<_> = quarantine.all_held(now).iter().map(plain).collect();
+        let mut held: Vec<_> = quarantine.quarantined(now).iter().map(plain).collect();
         held.sort();
         decisions.note(held);
     }
