--- a/crates/tallybridge-mesh/src/node/list_requests.rs
+++ b/crates/tallybridge-mesh/src/node/list_requests.rs
@@ -10,7 +10,7 @@
 
 use tokio::time::Instant;
 
-/// Peers that are asked in any case. The measurement above has no other number; Origin not recorded.
+/// Peers that are asked in any case, as in the measurement above. The figure itself: Origin not recorded.
 const ALWAYS_ASKED: u32 = 3;
 /// Least time between further requests. Origin not recorded.
 const PAUSE: Duration = Duration::from_millis(500);
--- a/crates/tallybridge-mesh/src/node/mod.rs
+++ b/crates/tallybridge-mesh/src/node/mod.rs
@@ -9,7 +9,7 @@
 //! | `status` | what the other nodes get of this one, and the tick |
 //! | `peers`, `registration` | the other nodes, and the entry in the register |
 //! | `configuration`, `store_watch` | the configuration in force, and who watches the store |
-//! | `backend`, `running`, `quarantine` | the back end: its instance, its calls, its crashes |
+//! | `backend`, `running`, `dispatched`, `quarantine` | the back end: its instance, its calls, its crashes |
 //! | `admission`, `retries`, `quotas` | what requests may do |
 //!
 //! A method holds the lock for a moment and never across an `await`. Nothing here survives the process.
@@ -18,6 +18,7 @@
 mod backend;
 mod configuration;
 mod counters;
+mod dispatched;
 mod lifecycle;
 mod list_requests;
 mod peers;
@@ -40,8 +41,8 @@
 pub use self::{
     configuration::Confirmed,
     counters::Counters,
+    dispatched::DispatchedCall,
     lifecycle::RequestInFlight,
-    quarantine::DispatchedCall,
     running::{NestedCall, RunningAttempt},
     store_watch::{PendingWatch, WatchView, WatcherRole},
 };
--- a/crates/tallybridge-mesh/src/node/published_load.rs
+++ b/crates/tallybridge-mesh/src/node/published_load.rs
@@ -22,7 +22,7 @@
 use tokio::time::Instant;
 
 /// Least time between two messages for each linked node, which is about as likely to have linked to this one.
-/// Set with the sweep above; why 4 ms: Origin not recorded.
+/// Measured with the sweep above; the figure itself: Origin not recorded.
 const PAUSE_PER_LINK: Duration = Duration::from_millis(4);
 /// Change of the utilization (1 is all slots busy) that is sent. Origin not recorded.
 const UTILIZATION_CHANGE: f64 = 0.08;
--- a/crates/tallybridge-mesh/src/tasks/mod.rs
+++ b/crates/tallybridge-mesh/src/tasks/mod.rs
@@ -1,5 +1,7 @@
-//! What runs beside requests for as long as the process lives: it keeps the node's tables true to the store,
-//! the other nodes, the back end and the settings.
+//! Tasks that run beside requests for as long as the process does.
+//!
+//! They keep the node's tables up to date with the store, the other nodes, the back end and the settings. A task
+//! owns no state that requests need: it changes the node by its methods and waits for the node's signals.
 
 mod backoff;
 pub mod configuration;
