--- a/crates/tallybridge-mesh/src/tables/quarantine/mod.rs
+++ b/crates/tallybridge-mesh/src/tables/quarantine/mod.rs
@@ -11,8 +11,9 @@
 //!   (`recent_answers`); they are no suspects.
 //! - Crash reports, cleared requests and quarantined requests of the other nodes, some round trips old.
 //!
-//! **Output.** [`Quarantine::find`]: whether a call is refused, after how many crashes, and for how long. A
-//! refused call has not run. The entry and the executor both ask, before they look at load.
+//! **Output.** [`Quarantine::find`]: whether a call is refused, after how many crashes, and for how long. It is
+//! asked at the entry, before the load is looked at, before each retry, and at the executor when the call arrives
+//! and again when it has a slot. A refused call has not run.
 //!
 //! **Why.** Retries of one request, by this system and by its callers, would otherwise crash one back end
 //! after another. All calls of a crash are suspects, since nothing shows which of them caused it; the bound of
--- a/crates/tallybridge-mesh/src/tables/quarantine/record.rs
+++ b/crates/tallybridge-mesh/src/tables/quarantine/record.rs
@@ -9,8 +9,8 @@
     protocol::{QuarantinedRequest, RequestDigest},
 };
 
-/// Crashes after which a request is quarantined. Two would quarantine more of the requests that were running
-/// by chance; a fourth would cost one more back end with all its calls
+/// Crashes after which a request is quarantined. Fewer would quarantine requests that were running by chance when
+/// back ends crashed for reasons of their own; a fourth would cost one more back end with all its calls
 /// (docs/design/quarantine.md, "Which call is to blame").
 pub const CRASHES_TO_QUARANTINE: u8 = 3;
 /// How long a request is quarantined after the third crash, the fourth, the fifth and any further one. The
