--- a/crates/tallybridge-mesh/src/node/list_requests.rs
+++ b/crates/tallybridge-mesh/src/node/list_requests.rs
@@ -2,7 +2,7 @@
 //!
 //! **Rule.** The first three peers are asked; after them, while this node is not registered, one each 500 ms.
 //!
-//! **Why.** The register names the nodes, and peers replace it while the store is down. A list grows with the
+//! **Why.** The registry names the nodes, and peers replace it while the store is down. A list grows with the
 //! fleet, so not every link carries one: lists from three peers alone, also before the registration, took control
 //! at 300 machines from 685 to 48 kB/s a node (docs/MEASUREMENTS.md, "Against the number of machines").
 
--- a/crates/tallybridge-mesh/src/node/mod.rs
+++ b/crates/tallybridge-mesh/src/node/mod.rs
@@ -7,7 +7,7 @@
 //! |---|---|
 //! | `lifecycle` | readiness, planned stop, changed settings, pauses |
 //! | `status` | what the other nodes get of this one, and the tick |
-//! | `peers`, `registration` | the other nodes, and the entry in the register |
+//! | `peers`, `registration` | the other nodes, and the entry in the registry |
 //! | `configuration`, `store_watch` | the configuration in force, and who watches the store |
 //! | `backend`, `running`, `dispatched`, `quarantine` | the back end: its instance, its calls, its crashes |
 //! | `admission`, `retries`, `quotas` | what requests may do |
--- a/crates/tallybridge-mesh/src/node/quarantine.rs
+++ b/crates/tallybridge-mesh/src/node/quarantine.rs
@@ -2,7 +2,7 @@
 //!
 //! [`crate::tables::quarantine`] has the rule. This file reports crashes and spreads reports and clearings by
 //! gossip; `dispatched` tracks and refuses calls. A node that starts gets the snapshot over each of its links and
-//! from the register.
+//! from the registry.
 
 use std::sync::atomic::Ordering;
 
--- a/crates/tallybridge-mesh/src/tasks/stored_quarantine.rs
+++ b/crates/tallybridge-mesh/src/tasks/stored_quarantine.rs
@@ -1,7 +1,7 @@
-//! Stores the quarantine in the register, so that it outlasts the loss of all nodes.
+//! Stores the quarantine in the registry, so that it outlasts the loss of all nodes.
 //!
 //! The node beside the back end that crashed last writes the snapshot of its table as one entry, under its own
-//! lease and behind the entries of the nodes. Whoever reads the register reads it too, so a node that starts
+//! lease and behind the entries of the nodes. Whoever reads the registry reads it too, so a node that starts
 //! needs no call of its own to the store. The entry is renewed while the snapshot is not empty and written
 //! anew when a crash adds to it. While the store is down, peers pass the quarantine on.
 
@@ -28,7 +28,7 @@
 /// Wait before an entry is written, so that one write has all requests of a series of crashes. Origin not recorded.
 const GATHER: Duration = Duration::from_millis(150);
 
-/// An entry of the register: the snapshot of one node.
+/// An entry of the registry: the snapshot of one node.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StoredQuarantine {
     #[serde(rename = "held")]
