--- a/crates/tallybridge-mesh/src/clock/mod.rs
+++ b/crates/tallybridge-mesh/src/clock/mod.rs
@@ -1,19 +1,20 @@
 //! The clock for ages and deadlines that mean the same on other machines: it counts suspended time.
 //!
-//! The monotonic clock of the standard library and of tokio stands still while a machine is suspended, so an
-//! age that it measures across a suspension is too short, and a deadline set by it comes too late. There are
-//! therefore two clocks, with types that can't be mixed:
+//! The monotonic clock of the standard library and of tokio stands still while a machine is
+//! suspended, so an age that it measures across a suspension is too short, and a deadline set by it
+//! comes too late. There are therefore two clocks, with types that can't be mixed:
 //!
 //! - [`BootInstant`] dates what goes on elsewhere while this machine is suspended: confirmations of the
 //!   configuration, deadlines of callers, windows of quotas and retries, quarantines.
 //! - [`tokio::time::Instant`] measures the work of this process: latency, load, contact on links, backoff.
 //!
-//! [docs/DESIGN.md](../../../../docs/DESIGN.md), "Clocks", lists which is which and why, and what was weighed.
+//! [docs/DESIGN.md](../../../../docs/DESIGN.md), "Clocks", lists which is which and why, and what
+//! was weighed.
 //!
-//! This module owns the state of the process's clock: the suspended time seen so far ([`suspended`]), and the
-//! pauses of the process ([`record_tick`]), after which data from sockets may be old. It relies on
-//! `CLOCK_BOOTTIME` of the kernel. A [`BootInstant`] means nothing outside the process that took it; other
-//! processes get ages or times left.
+//! This module owns the state of the process's clock: the suspended time seen so far
+//! ([`suspended`]), and the pauses of the process ([`record_tick`]), after which data from sockets
+//! may be old. It relies on `CLOCK_BOOTTIME` of the kernel. A [`BootInstant`] means nothing outside
+//! the process that took it; other processes get ages or times left.
 
 mod pause;
 mod sleep;
@@ -43,8 +44,8 @@
         Self(Instant::now() + suspended())
     }
 
-    /// When data that is read from a socket now arrived, at the earliest. Directly after a pause of the process
-    /// that is the beginning of the pause, otherwise now.
+    /// When data that is read from a socket now arrived, at the earliest. Directly after a pause of
+    /// the process that is the beginning of the pause, otherwise now.
     #[must_use]
     pub fn of_arrival() -> Self {
         let now = Self::now();
--- a/crates/tallybridge-mesh/src/clock/pause.rs
+++ b/crates/tallybridge-mesh/src/clock/pause.rs
@@ -1,7 +1,7 @@
 //! Pauses of this process: it was stopped, its machine was suspended, or it got no processor time.
 //!
-//! **Rule.** A process whose ticks, 100 ms apart, stop for 500 ms was paused. What it reads from a socket during
-//! the pause or up to 30 ms after it counts as having arrived when the pause began.
+//! **Rule.** A process whose ticks, 100 ms apart, stop for 500 ms was paused. What it reads from a
+//! socket during the pause or up to 30 ms after it counts as having arrived when the pause began.
 //!
 //! **Why.** Such data may have waited for the length of the pause. A call would otherwise run with the time
 //! left that it had when it was sent, after its caller has given up.
--- a/crates/tallybridge-mesh/src/clock/suspension.rs
+++ b/crates/tallybridge-mesh/src/clock/suspension.rs
@@ -1,7 +1,7 @@
 //! How long this machine was suspended since the process began.
 //!
-//! Suspended time is what `CLOCK_BOOTTIME` went ahead of the monotonic clock. The state is one for the process,
-//! as a process is one node. Each reading notices a wake-up and tells those who wait
+//! Suspended time is what `CLOCK_BOOTTIME` went ahead of the monotonic clock. The state is one for
+//! the process, as a process is one node. Each reading notices a wake-up and tells those who wait
 //! ([`super::sleep`]).
 
 use std::{
@@ -15,8 +15,8 @@
 use nix::time::{ClockId, clock_gettime};
 use tokio::sync::watch;
 
-/// Resolution of suspended time: far above the difference of two clocks that are read one after the other, far
-/// below any time that matters here. Origin not recorded.
+/// Resolution of suspended time: far above the difference of two clocks that are read one after the
+/// other, far below any time that matters here. Origin not recorded.
 const STEP: Duration = Duration::from_millis(10);
 
 static AT_START: LazyLock<ClockPair> = LazyLock::new(ClockPair::read);
--- a/crates/tallybridge-mesh/src/configuration/mod.rs
+++ b/crates/tallybridge-mesh/src/configuration/mod.rs
@@ -1,8 +1,8 @@
 //! The configuration that the platform's operator owns: routes, services, limits and tenants, by version.
 //!
-//! Owns the types and the look-up of a request's route; the adapter decodes the operator's document into them
-//! ([`Platform::configuration`](crate::platform::Platform::configuration)). Which version is in force, and how
-//! it is learned: [`tasks::configuration`](crate::tasks::configuration).
+//! Owns the types and the look-up of a request's route; the adapter decodes the operator's document
+//! into them ([`Platform::configuration`](crate::platform::Platform::configuration)). Which version
+//! is in force, and how it is learned: [`tasks::configuration`](crate::tasks::configuration).
 
 mod route;
 pub mod tenants;
--- a/crates/tallybridge-mesh/src/configuration/tenants.rs
+++ b/crates/tallybridge-mesh/src/configuration/tenants.rs
@@ -32,8 +32,8 @@
     pub burst: f64,
 }
 
-/// The rank of a tenant's priority among those that tenants of a configuration have. Where all have the same
-/// one, the priority of the route alone decides.
+/// The rank of a tenant's priority among those that tenants of a configuration have. Where all have
+/// the same one, the priority of the route alone decides.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct TenantRank {
     /// Priorities that go before its own.
--- a/crates/tallybridge-mesh/src/http/mod.rs
+++ b/crates/tallybridge-mesh/src/http/mod.rs
@@ -1,6 +1,6 @@
 //! HTTP/1.1 as entries and executors need it: complete messages, exact framing, nothing hidden.
 //!
-//! [`server`] answers callers; [`client`], [`pool`] and [`persistent`] call back ends and the
+//! `server` answers callers; `client`, `pool` and `persistent` call back ends and the
 //! platform's store; heads, header lines and bodies are read by one code for both.
 //!
 //! Built on `httparse`, the parser under `hyper` and so under `warp` and `reqwest`. Those hide what
--- a/crates/tallybridge-mesh/src/http/pool.rs
+++ b/crates/tallybridge-mesh/src/http/pool.rs
@@ -83,7 +83,7 @@
     ///
     /// # Errors
     ///
-    /// [`ExchangeError`] when the back end accepts none within [`CONNECT_TIMEOUT`].
+    /// [`ExchangeError`] when the back end accepts none within `CONNECT_TIMEOUT`.
     pub async fn open(&self) -> Result<Checkout, ExchangeError> {
         let stream = connect(self.address, CONNECT_TIMEOUT, UNACKNOWLEDGED_TIMEOUT).await;
         let stream = stream.map_err(ExchangeError::not_sent)?;
--- a/crates/tallybridge-mesh/src/link/liveness.rs
+++ b/crates/tallybridge-mesh/src/link/liveness.rs
@@ -10,16 +10,13 @@
 //! stands still while the machine is suspended, so that a wake does not look like the loss of all
 //! peers (`docs/DESIGN.md`).
 //!
-//! **Output.** One [`Verdict`] a tick. Any frame from the other node makes the link alive again.
+//! **Output.** One `Verdict` a tick. Any frame from the other node makes the link alive again.
 //!
 //! **Why.** A call that is sent to a silent node waits there for its full time. Placing new calls
 //! elsewhere does no harm if the node was merely slow, so that comes first. A call that is given up
 //! may still run there and runs again elsewhere, which only idempotent calls may; of the others
 //! nothing can be said, and they wait until the link is closed. Weighed instead of contact on links:
 //! SWIM over UDP, a second protocol beside the link (`docs/DESIGN.md`).
-//!
-//! **Constants.** With [`SUSPECT_AFTER`] at 700 ms, calls went to a silent executor for a second:
-//! `docs/incidents/peachline-inc-0706.md`.
 
 use std::time::Duration;
 
@@ -34,9 +31,9 @@
 /// of them, so that pings stay at 83 a second of a node whatever the number of its links: 5.2 s at
 /// the 432 links of the largest site (`docs/CAPACITY.md`).
 const PING_IDLE_PER_LINK: Duration = Duration::from_millis(12);
-/// Time without an answer to a ping after which new calls avoid the link. Against 700 ms it raised
-/// the share of requests served by 0.005 to 0.006 in three of four recorded incidents and left it as
-/// it was in one, one run each.
+/// Time without an answer to a ping after which new calls avoid the link. At 700 ms calls went to a
+/// silent executor for a second; this raised the share of requests served by 0.005 to 0.006 in three
+/// of four recorded incidents and left it as it was in one, one run each.
 const SUSPECT_AFTER: Duration = Duration::from_millis(350);
 /// Time without an answer to a ping after which the idempotent calls on the link are given up, to be
 /// retried elsewhere. Origin not recorded.
--- a/crates/tallybridge-mesh/src/listener/peers/mod.rs
+++ b/crates/tallybridge-mesh/src/listener/peers/mod.rs
@@ -1,7 +1,7 @@
 //! Links that other nodes opened to this one: calls come in on them.
 //!
 //! Accepts connections, answers the hello, and handles each frame. The calls that run for a link
-//! are in [`running_calls`]. The other end is `tasks::links`.
+//! are in `running_calls`. The other end is `tasks::links`.
 
 mod running_calls;
 
--- a/crates/tallybridge-mesh/src/log/decisions.rs
+++ b/crates/tallybridge-mesh/src/log/decisions.rs
@@ -1,8 +1,9 @@
 //! Log lines about single refused requests.
 //!
-//! The node that refuses a request logs the inputs of its decision. The lines of one request at its entry and at
-//! its executor share the attempt, by which `tallybridge explain` joins them. Each kind of refusal at each place
-//! has a limit of its own, so a flood of one kind leaves the others readable.
+//! The node that refuses a request logs the inputs of its decision. The lines of one request at its
+//! entry and at its executor share the attempt, by which `tallybridge explain` joins them. Each
+//! kind of refusal at each place has a limit of its own, so a flood of one kind leaves the others
+//! readable.
 
 use std::{
     collections::HashMap,
@@ -16,8 +17,9 @@
 use super::rate_limit::{LineRate, LineWindow};
 use crate::protocol::Load;
 
-/// Lines of one kind of refusal at one place. They cost no processor time that shows: 26.4 core seconds with them
-/// and 26.5 before, on one day of Feira, one run each. The figure itself: Origin not recorded.
+/// Lines of one kind of refusal at one place. They cost no processor time that shows: 26.4 core
+/// seconds with them and 26.5 without, in the same recorded run, once each.
+/// Origin of the figure not recorded.
 const RATE: LineRate = LineRate {
     lines: 5,
     span: Duration::from_secs(1),
@@ -73,8 +75,8 @@
 }
 
 impl DecisionLog {
-    /// Whether a line may be written now. Gives the number of lines of its kind and place that were left out
-    /// since the last one.
+    /// Whether a line may be written now. Gives the number of lines of its kind and place that were
+    /// left out since the last one.
     #[must_use]
     pub fn admit(&self, place: Place, kind: ErrorKind, now: Instant) -> Option<u64> {
         let mut windows = self.0.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/tallybridge-mesh/src/log/rate_limit.rs
+++ b/crates/tallybridge-mesh/src/log/rate_limit.rs
@@ -66,7 +66,8 @@
         Self(Mutex::new(LineWindow::new()))
     }
 
-    /// Whether the line may be written now. Gives the number of lines that were left out since the last one.
+    /// Whether the line may be written now. Gives the number of lines that were left out since the
+    /// last one.
     pub fn line(&self) -> Option<u64> {
         let now = Instant::now();
         let mut window = self.0.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/tallybridge-mesh/src/node/configuration.rs
+++ b/crates/tallybridge-mesh/src/node/configuration.rs
@@ -83,7 +83,8 @@
         tables.version_from_store = tables.version();
     }
 
-    /// Whether a version is in force that came from a peer and that the store has not reported to this node.
+    /// Whether a version is in force that came from a peer and that the store has not reported to
+    /// this node.
     #[must_use]
     pub fn is_ahead_of_store(&self) -> bool {
         let tables = self.tables();
@@ -99,7 +100,8 @@
         self.signals.confirmations.send_modify(|count| *count += 1);
     }
 
-    /// This node read the newest configuration from the store, which it asked at a time, and has it in force.
+    /// This node read the newest configuration from the store, which it asked at a time, and has it
+    /// in force.
     pub fn configuration_read(&self, asked_at: BootInstant) {
         let mut tables = self.tables();
         tables.read_at = tables.read_at.max(Some(asked_at));
@@ -114,8 +116,8 @@
         self.tables().read_at.map(|at| at.elapsed())
     }
 
-    /// A time on this node's clock, in milliseconds since its process began; at least 1. Peers date by it when
-    /// this node read the configuration.
+    /// A time on this node's clock, in milliseconds since its process began; at least 1. Peers date
+    /// by it when this node read the configuration.
     #[must_use]
     pub fn clock_ms(&self, at: BootInstant) -> u64 {
         let elapsed = at.saturating_duration_since(self.began).as_millis();
--- a/crates/tallybridge-mesh/src/node/dispatched.rs
+++ b/crates/tallybridge-mesh/src/node/dispatched.rs
@@ -1,6 +1,7 @@
 //! Calls at the back end beside this node, from the check whether they are quarantined to their end.
 //!
-//! [`crate::tables::quarantine`] has the rule by which a call is refused here, and [`DispatchedCalls`] those that run.
+//! [`crate::tables::quarantine`] has the rule by which a call is refused here, and
+//! [`DispatchedCalls`] those that run.
 //!
 //! [`DispatchedCalls`]: crate::tables::quarantine::DispatchedCalls
 
@@ -40,8 +41,8 @@
         Err(refusal.with_retry_after(request.left))
     }
 
-    /// Tracks a call that is dispatched to the back end beside this node, until what is returned is ended or
-    /// dropped. A request that was quarantined begins its trial with it.
+    /// Tracks a call that is dispatched to the back end beside this node, until what is returned is
+    /// ended or dropped. A request that was quarantined begins its trial with it.
     #[must_use]
     pub fn track_dispatch(
         self: &Arc<Self>,
--- a/crates/tallybridge-mesh/src/node/lifecycle.rs
+++ b/crates/tallybridge-mesh/src/node/lifecycle.rs
@@ -45,7 +45,8 @@
 
 /// Settings that change while the node runs.
 impl Node {
-    /// Applies what of new settings can change while the node runs: the stop's grace time and the retry budgets.
+    /// Applies what of new settings can change while the node runs: the stop's grace time and the
+    /// retry budgets.
     pub fn apply_settings(&self, settings: &MeshSettings) {
         let grace = settings.stop_grace_ms;
         self.lifecycle.stop_grace_ms.store(grace, Ordering::Relaxed);
@@ -61,8 +62,8 @@
 
 /// The planned stop. [`crate::run::stop`] has its phases.
 impl Node {
-    /// Begins the stop: the node is not ready for callers from now on, and peers prefer other executors. Calls
-    /// that come all the same are executed.
+    /// Begins the stop: the node is not ready for callers from now on, and peers prefer other
+    /// executors. Calls that come all the same are executed.
     pub fn begin_stop(&self) {
         self.lifecycle.is_stopping.store(true, Ordering::Relaxed);
         self.publish();
@@ -104,8 +105,8 @@
 
 /// Readiness, and the way back after a pause.
 impl Node {
-    /// Whether callers may use the node: it has a configuration, reaches its peers and is not stopping. A node
-    /// that is cut off would refuse nearly all requests.
+    /// Whether callers may use the node: it has a configuration, reaches its peers and is not
+    /// stopping. A node that is cut off would refuse nearly all requests.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let is_isolated = self.lifecycle.is_isolated.load(Ordering::Relaxed);
@@ -125,9 +126,10 @@
         }
     }
 
-    /// Deals with a pause of the process that is new to this node. Other nodes went on meanwhile, so what may
-    /// have changed there is not relied on until it is confirmed again: the watch of the store is suspected, the
-    /// registration is renewed, and this node owns its quotas as if newly, since another owned them meanwhile.
+    /// Deals with a pause of the process that is new to this node. Other nodes went on meanwhile,
+    /// so what may have changed there is not relied on until it is confirmed again: the watch of
+    /// the store is suspected, the registration is renewed, and this node owns its quotas as if
+    /// newly, since another owned them meanwhile.
     pub(super) fn note_pauses(&self, pauses: Pauses) {
         let known = self.lifecycle.pauses.swap(pauses.count, Ordering::Relaxed);
         if pauses.count <= known {
--- a/crates/tallybridge-mesh/src/node/list_requests.rs
+++ b/crates/tallybridge-mesh/src/node/list_requests.rs
@@ -1,10 +1,12 @@
 //! Which peers are asked for the nodes that they know.
 //!
-//! **Rule.** The first three peers are asked; after them, while this node is not registered, one each 500 ms.
+//! **Rule.** The first three peers are asked; after them, while this node is not registered, one
+//! each 500 ms.
 //!
-//! **Why.** The registry names the nodes, and peers replace it while the store is down. A list grows with the
-//! fleet, so not every link carries one: lists from three peers alone, also before the registration, took control
-//! at 300 machines from 685 to 48 kB/s a node (docs/MEASUREMENTS.md, "Against the number of machines").
+//! **Why.** The registry names the nodes, and peers replace it while the store is down. A list
+//! grows with the fleet, so not every link carries one: lists from three peers alone, also before
+//! the registration, took control at 300 machines from 685 to 48 kB/s a node (docs/MEASUREMENTS.md,
+//! "Against the number of machines").
 
 use std::time::Duration;
 
--- a/crates/tallybridge-mesh/src/node/mod.rs
+++ b/crates/tallybridge-mesh/src/node/mod.rs
@@ -1,7 +1,8 @@
 //! A node: the state of one process, and the operations on it that tasks and requests share.
 //!
-//! [`Node`] owns the tables behind one lock, the slots of the back end beside it and the connections to that, the
-//! counters, and the signals that wake its tasks. Its methods stand in one file a subject:
+//! [`Node`] owns the tables behind one lock, the slots of the back end beside it and the
+//! connections to that, the counters, and the signals that wake its tasks. Its methods stand in one
+//! file a subject:
 //!
 //! | file | subject |
 //! |---|---|
--- a/crates/tallybridge-mesh/src/node/quarantine.rs
+++ b/crates/tallybridge-mesh/src/node/quarantine.rs
@@ -1,8 +1,8 @@
 //! Crashes of the back end beside this node, and the quarantine that all nodes share.
 //!
-//! [`crate::tables::quarantine`] has the rule. This file reports crashes and spreads reports and clearings by
-//! gossip; `dispatched` tracks and refuses calls. A node that starts gets the snapshot over each of its links and
-//! from the registry.
+//! [`crate::tables::quarantine`] has the rule. This file reports crashes and spreads reports and
+//! clearings by gossip; `dispatched` tracks and refuses calls. A node that starts gets the snapshot
+//! over each of its links and from the registry.
 
 use std::sync::atomic::Ordering;
 
@@ -18,9 +18,9 @@
     },
 };
 
-/// Links, drawn at random, over which a node passes on what was new to it. With 12 at each node, one node in
-/// 160,000 (e^-12) gets nothing; it learns from the next link that it opens (docs/design/quarantine.md, "Who
-/// knows").
+/// Links, drawn at random, over which a node passes on what was new to it. With 12 at each node,
+/// one node in 160,000 (e^-12) gets nothing; it learns from the next link that it opens
+/// (docs/design/quarantine.md, "Who knows").
 const GOSSIP_FANOUT: usize = 12;
 
 /// A crash of the back end beside this node.
@@ -130,8 +130,8 @@
 
 /// The quarantine of this node, kept equal to that of the others.
 impl Node {
-    /// Counts a report of a crash and passes it on, unless it was counted before. `true` when the snapshot has
-    /// changed for it, so that the stored one is out of date.
+    /// Counts a report of a crash and passes it on, unless it was counted before. `true` when the
+    /// snapshot has changed for it, so that the stored one is out of date.
     pub fn record_crash(&self, report: CrashReport) -> bool {
         let now = BootInstant::now();
         let quarantined = self.tables().quarantine.record_crash(&report, now);
--- a/crates/tallybridge-mesh/src/node/signals.rs
+++ b/crates/tallybridge-mesh/src/node/signals.rs
@@ -10,8 +10,8 @@
 /// The signals of one node, each with what it wakes.
 #[derive(Debug)]
 pub(super) struct Signals {
-    /// The status is to be sent: wakes the sender of each link that a peer opened ([`crate::listener::peers`]).
-    /// The value counts.
+    /// The status is to be sent: wakes the sender of each link that a peer opened
+    /// ([`crate::listener::peers`]). The value counts.
     pub(super) status: watch::Sender<u64>,
     /// The store confirmed the configuration: wakes the same senders. The value counts.
     pub(super) confirmations: watch::Sender<u64>,
@@ -30,8 +30,8 @@
     pub(super) record_changed: Notify,
     /// The process runs again after a pause: wakes [`crate::tasks::registration`], whose lease may be over.
     pub(super) resumed: Notify,
-    /// This node began to watch the store: wakes [`crate::tasks::registration`], as a watcher renews its lease
-    /// more often.
+    /// This node began to watch the store: wakes [`crate::tasks::registration`], as a watcher
+    /// renews its lease more often.
     pub(super) became_watcher: Notify,
     /// The pending watch of the store may never be answered: wakes [`crate::tasks::configuration`].
     pub(super) watch_suspected: Notify,
--- a/crates/tallybridge-mesh/src/node/status.rs
+++ b/crates/tallybridge-mesh/src/node/status.rs
@@ -51,8 +51,8 @@
         self.signals.status.subscribe()
     }
 
-    /// Runs the systems that work on the tables, each 100 ms: pauses, slots, links, admission, quota ownership
-    /// and readiness. Publishes the status when the load has changed enough.
+    /// Runs the systems that work on the tables, each 100 ms: pauses, slots, links, admission,
+    /// quota ownership and readiness. Publishes the status when the load has changed enough.
     pub fn tick(&self) {
         self.note_pauses(clock::record_tick());
         let now = Instant::now();
--- a/crates/tallybridge-mesh/src/node/store_watch.rs
+++ b/crates/tallybridge-mesh/src/node/store_watch.rs
@@ -82,7 +82,8 @@
         PendingWatch(&self.watch_pending)
     }
 
-    /// The store answered another call that was made at a time: a pending watch would have reported a change.
+    /// The store answered another call that was made at a time: a pending watch would have reported
+    /// a change.
     pub fn confirm_by_pending_watch(&self, asked_at: BootInstant) {
         if self.watch_pending.load(Ordering::Relaxed) {
             self.configuration_confirmed(asked_at);
--- a/crates/tallybridge-mesh/src/node/tables.rs
+++ b/crates/tallybridge-mesh/src/node/tables.rs
@@ -49,9 +49,10 @@
     pub(super) configuration_confirmed: Option<BootInstant>,
     /// When the store last confirmed it to this node itself.
     pub(super) confirmed_by_store: Option<BootInstant>,
-    /// When the store was asked for the newest configuration that is known to have been read, here or at a peer,
-    /// and that is not newer than the one in force. A confirmation rests on a watch that may be lost; a read does
-    /// not, so no key that was removed before it can still be in force.
+    /// When the store was asked for the newest configuration that is known to have been read, here
+    /// or at a peer, and that is not newer than the one in force. A confirmation rests on a watch
+    /// that may be lost; a read does not, so no key that was removed before it can still be in
+    /// force.
     pub(super) read_at: Option<BootInstant>,
     /// Version in force when the store last gave one to this node.
     pub(super) version_from_store: u64,
--- a/crates/tallybridge-mesh/src/platform.rs
+++ b/crates/tallybridge-mesh/src/platform.rs
@@ -1,8 +1,8 @@
-//! The platform as the mesh sees it: names of headers, reports of back ends, the configuration and the registry
-//! in its store.
+//! The platform as the mesh sees it: names of headers, reports of back ends, the configuration and
+//! the registry in its store.
 //!
-//! [`Platform`] is filled by an adapter, which decodes each field of the wire once; the platform's own names
-//! stay behind these types.
+//! [`Platform`] is filled by an adapter, which decodes each field of the wire once; the platform's
+//! own names stay behind these types.
 
 use std::time::Duration;
 
@@ -144,8 +144,8 @@
         wait: Duration,
     ) -> StoreFuture<'_, WatchedConfiguration>;
 
-    /// Writes an entry of the registry under a name, and gives the lease under which it lies: `lease`, or a new
-    /// one of `ttl` where none is given.
+    /// Writes an entry of the registry under a name, and gives the lease under which it lies:
+    /// `lease`, or a new one of `ttl` where none is given.
     fn register<'a>(
         &'a self,
         name: &'a str,
--- a/crates/tallybridge-mesh/src/request/credentials.rs
+++ b/crates/tallybridge-mesh/src/request/credentials.rs
@@ -3,16 +3,17 @@
 //! **Rule.** A request of a route that is not public needs exactly one key that a tenant holds, and the
 //! configuration must be young enough to tell that the key was not removed.
 //!
-//! **Inputs.** The request's key; the configuration in force; the time since it was read from the store
-//! ([`Node::read_age`]) and since it was confirmed ([`Node::is_configuration_fresh`]); `revoke_within_ms` of
-//! the settings, without which a configuration of any age is trusted.
+//! **Inputs.** The request's key; the configuration in force; the time since it was read from the
+//! store ([`Node::read_age`]) and since it was confirmed ([`Node::is_configuration_fresh`]);
+//! `revoke_within_ms` of the settings, without which a configuration of any age is trusted.
 //!
 //! **Output.** The tenant, or a refusal: the configuration is stale (503), or the key is unknown (401; 503
 //! while it may just be new here).
 //!
-//! **Why.** A removed key must stop working everywhere within `revoke_within_ms`, also at nodes that are cut
-//! off. Reads count and confirmations don't, as these rest on a watch that may be lost in silence. What a request says of its place in a chain of calls admits it nowhere: a name can be made up.
-//! What was weighed: `docs/design/quotas.md`.
+//! **Why.** A removed key must stop working everywhere within `revoke_within_ms`, also at nodes
+//! that are cut off. Reads count and confirmations don't, as these rest on a watch that may be lost
+//! in silence. What a request says of its place in a chain of calls admits it nowhere: a name can
+//! be made up. What was weighed: `docs/design/quotas.md`.
 
 use std::{sync::Arc, time::Duration};
 
--- a/crates/tallybridge-mesh/src/request/entry/refusal.rs
+++ b/crates/tallybridge-mesh/src/request/entry/refusal.rs
@@ -22,8 +22,8 @@
 /// When a caller may come back whose refusal has no better time. Origin not recorded.
 pub(in crate::request) const RETRY_AFTER: Duration = Duration::from_millis(250);
 /// When a caller may come back whose request was shed at the entry. An overload lasts seconds: at 0.4 s
-/// the same requests were refused up to four times; 0.9 s earned 0.730 where 0.4 s earned 0.724 of the
-/// worth of ten days, 1.4 s served fewer (docs/DECISIONS.md, round 4).
+/// the same requests were refused up to four times; 0.9 s gave 0.730 and 0.4 s 0.724 of the value of
+/// the requests of ten recorded days, 1.4 s served fewer (`docs/DECISIONS.md`).
 pub(super) const SHED_RETRY_AFTER: Duration = Duration::from_millis(900);
 /// What a time to come back is multiplied by, at random. Origin not recorded.
 const RETRY_AFTER_SPREAD: Range<f64> = 0.8..1.4;
--- a/crates/tallybridge-mesh/src/request/entry/times.rs
+++ b/crates/tallybridge-mesh/src/request/entry/times.rs
@@ -4,9 +4,9 @@
 //! fresh request waits for a slot for a small part of its route's target latency, a nested call for the
 //! greater part of its time.
 //!
-//! **Inputs.** The time that the sender waits, in milliseconds from the arrival of the request, if it states one;
-//! time-out and target latency of the route, from the configuration in force; whether the call is
-//! nested; all counted from when the request's head was read.
+//! **Inputs.** The time that the sender waits, in milliseconds from the arrival of the request, if
+//! it states one; time-out and target latency of the route, from the configuration in force;
+//! whether the call is nested; all counted from when the request's head was read.
 //!
 //! **Output.** [`CallTimes`].
 //!
@@ -18,9 +18,9 @@
 
 use crate::{clock::BootInstant, configuration::Route};
 
-/// Part of the target latency that a fresh request may wait for a slot. 0.12, 0.22 and 0.5 earned the
-/// same on a day of high load (0.870 of its worth each, one play each). Origin of the figure not
-/// recorded.
+/// Part of the target latency that a fresh request may wait for a slot. 0.12, 0.22 and 0.5 gave the
+/// same on a recorded day of high load (0.870 of the value of its requests, one run each). Origin
+/// of the figure not recorded.
 const FRESH_WAIT: f64 = 0.22;
 /// Part of its time that a nested call may wait for a slot. Origin not recorded.
 const NESTED_WAIT: f64 = 0.6;
--- a/crates/tallybridge-mesh/src/request/forward/retry.rs
+++ b/crates/tallybridge-mesh/src/request/forward/retry.rs
@@ -17,9 +17,9 @@
 //! **Why.** A retry is work that a back end does again while it may be overloaded, so it is bounded over
 //! the whole fleet; a reroute cost no back end anything. A failure that a back end answers is final, as
 //! a request that fails at a healthy back end fails at the next one too, unless its back end is an
-//! outlier. Weighed and lost: a retry of every failure, and a second attempt beside a late one, which
-//! was worth nothing over ten pairs of plays (docs/DECISIONS.md, `second_attempts`; what retries are
-//! worth stands there as `repeats`).
+//! outlier. Measured and not better: a retry of every failure, and a second attempt beside a late one,
+//! over ten pairs of runs (`docs/DECISIONS.md`, `second_attempts`; what retries gain stands there
+//! as `repeats`).
 
 use std::{net::SocketAddr, sync::atomic::Ordering};
 
--- a/crates/tallybridge-mesh/src/request/quota.rs
+++ b/crates/tallybridge-mesh/src/request/quota.rs
@@ -92,8 +92,9 @@
     }
 }
 
-/// Asks a tenant's owner on behalf of another node. That node may reach this one and not the owner, as when a
-/// connection between them went silent: its requests would be refused until a new one is open.
+/// Asks a tenant's owner on behalf of another node. That node may reach this one and not the owner,
+/// as when a connection between them went silent: its requests would be refused until a new one is
+/// open.
 pub async fn forward(node: &Node, tenant: &[u8], ask: QuotaAsk) -> QuotaGrant {
     let Some(tenant) = node.tenant_named(tenant) else {
         return QuotaGrant::NotOwner;
--- a/crates/tallybridge-mesh/src/run/stop.rs
+++ b/crates/tallybridge-mesh/src/run/stop.rs
@@ -1,8 +1,8 @@
 //! The planned stop of a node.
 //!
-//! **Rule.** From the order to stop the node is not ready, and its peers use its back end only for want of
-//! another; after 2.6 s it dispatches nothing more and refuses fresh requests; it ends once it had nothing in
-//! flight for 400 ms, and 350 ms before the end of the grace time at the latest.
+//! **Rule.** From the order to stop the node is not ready, and its peers use its back end only for
+//! want of another; after 2.6 s it dispatches nothing more and refuses fresh requests; it ends once
+//! it had nothing in flight for 400 ms, and 350 ms before the end of the grace time at the latest.
 //!
 //! | phase | from | callers | peers | ends |
 //! |---|---|---|---|---|
@@ -13,9 +13,9 @@
 //! **Inputs.** Requests that this node entered and calls at its back end, each 20 ms; the grace time of the
 //! settings, from the order on.
 //!
-//! **Why.** Callers and peers learn of a stop with a delay, and what they send until then must not be cut off.
-//! Without the drain a request that arrived last would be cut off; without the bound by the grace time the
-//! platform would kill the process.
+//! **Why.** Callers and peers learn of a stop with a delay, and what they send until then must not
+//! be cut off. Without the drain a request that arrived last would be cut off; without the bound by
+//! the grace time the platform would kill the process.
 
 use std::{sync::Arc, time::Duration};
 
--- a/crates/tallybridge-mesh/src/settings/mod.rs
+++ b/crates/tallybridge-mesh/src/settings/mod.rs
@@ -1,8 +1,8 @@
 //! Settings of a mesh node, read from a TOML file.
 //!
-//! Owns their form and their defaults; `check` says which values can be used, `effective` lists those by which
-//! the node treats calls. The file is laid out by the platform and read again while the node runs
-//! ([`tasks::reload`](crate::tasks::reload)).
+//! Owns their form and their defaults; `check` says which values can be used, `effective` lists
+//! those by which the node treats calls. The file is laid out by the platform and read again while
+//! the node runs ([`tasks::reload`](crate::tasks::reload)).
 
 mod check;
 mod effective;
@@ -80,8 +80,8 @@
 /// Revocation of keys, and limits of tenants, where the configuration has any.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 pub struct TenantSettings {
-    /// Time in milliseconds after which a key that was removed works nowhere: a node that can't tell refuses
-    /// requests with keys. Without it, a node goes by the configuration that it has.
+    /// Time in milliseconds after which a key that was removed works nowhere: a node that can't
+    /// tell refuses requests with keys. Without it, a node goes by the configuration that it has.
     #[serde(default)]
     pub revoke_within_ms: Option<u64>,
     /// Span over which requests are counted against limits, in milliseconds.
--- a/crates/tallybridge-mesh/src/tables/admission/costs.rs
+++ b/crates/tallybridge-mesh/src/tables/admission/costs.rs
@@ -10,8 +10,7 @@
 //!
 //! **Why.** A route is shed only for services that its requests use. When failures could also lower
 //! costs, a loss of all nodes into an overload taught entries that a route needs nothing but its own
-//! service, and all its requests were admitted for as long as the deep service stayed full
-//! ([incident](../../../../../docs/incidents/feira-recover-unlearned-costs.md)).
+//! service, and all its requests were admitted for as long as the deep service stayed full.
 
 use std::{collections::HashMap, sync::Arc};
 
--- a/crates/tallybridge-mesh/src/tables/admission/level.rs
+++ b/crates/tallybridge-mesh/src/tables/admission/level.rs
@@ -10,10 +10,10 @@
 //! **Output.** [`AdmissionLevel::share`], 0 to 1, and [`AdmissionLevel::shedding_change`] for the log.
 //!
 //! **Why.** The calls of a request reach a deep service over the next second, so the work offered now
-//! was caused by earlier levels, and is referred to their mean; referring it to the one level of 0.6 s
-//! ago was replaced (docs/DECISIONS.md, round 1c). Lost: a level bounded where the first request would be
-//! shed with a backlog that counts more (round 3), and a brake that admits less at once on long queues,
-//! which swings on the simulated chain.
+//! was caused by earlier levels, and is referred to their mean and not to the one level of 0.6 s ago.
+//! Measured and not better: a level bounded where the first request would be shed with a backlog that
+//! counts more, and a brake that admits less at once on long queues, which swings on the simulated
+//! chain (`docs/DECISIONS.md`).
 //!
 //! At a restart levels start open, and take some 3 s to fall to a tenth under an overload.
 
@@ -21,16 +21,15 @@
 
 use super::weights::LEAST_WEIGHT;
 
-/// Work offered to a service that its level seeks, as a multiple of what it can do. 0.95, 1.05 and
-/// 1.15 earned 0.533, 0.567 and 0.577 on the users' day scale-2 (docs/DECISIONS.md, round 1c,
-/// which also brought the mean of the levels); 1.05 and 1.1 were within noise on Feira and earned less
-/// on Trencin (round 7b).
+/// Work offered to a service that its level seeks, as a multiple of what it can do. On a recorded day
+/// of overload 0.95, 1.05 and 1.15 gave 0.533, 0.567 and 0.577 of the value of its requests, one run
+/// each; 1.05 and 1.1 gave less on one of two other sites (`docs/DECISIONS.md`).
 const TARGET: f64 = 1.15;
 /// Calls that run or wait, as a multiple of the limit, from which the excess counts as a backlog that
 /// is to be worked off. Origin not recorded.
 const BACKLOG_FROM: f64 = 1.15;
 /// Part of such a backlog that counts as work offered. Origin not recorded; counting more shed in
-/// short overloads what the queue would have held (docs/DECISIONS.md, round 3).
+/// short overloads what the queue would have held (`docs/DECISIONS.md`).
 const BACKLOG_GAIN: f64 = 0.25;
 /// Least and most that counts as work offered, as a multiple of what the service can do: bounds how
 /// far a single tick changes the level. Origin of the figures not recorded.
--- a/crates/tallybridge-mesh/src/tables/admission/mod.rs
+++ b/crates/tallybridge-mesh/src/tables/admission/mod.rs
@@ -20,11 +20,9 @@
 //!
 //! **Why.** A call that is refused deep in a chain wastes all the work above it. One level for each
 //! service keeps the proportion of the weights at any fraction of the service that is left.
-//! Thresholds by priority with least shares for each were replaced, since urgent requests took all of
-//! a service that had lost most of its back ends. Following the fullness of a service was replaced
-//! too: it trails what was admitted by up to a second, so shares swung
-//! ([DESIGN.md](../../../../../docs/DESIGN.md), "Ways weighed";
-//! [DECISIONS.md](../../../../../docs/DECISIONS.md), rounds 1a and 1b).
+//! With thresholds by priority, urgent requests take all of a service that has lost most of its back
+//! ends. Following the fullness of a service trails what was admitted by up to a second, so shares
+//! swing (`docs/DESIGN.md`, "Ways weighed"; `docs/DECISIONS.md`).
 //!
 //! **Constants** stand with the part that uses them: `level.rs`, `weights.rs`, `costs.rs` and `route.rs`.
 
--- a/crates/tallybridge-mesh/src/tables/admission/weights.rs
+++ b/crates/tallybridge-mesh/src/tables/admission/weights.rs
@@ -15,10 +15,10 @@
 /// Weight by priority, the most urgent first.
 ///
 /// At 3 the most urgent requests are all admitted until two thirds of the least urgent ones are
-/// shed. A weight of 4 was within noise on the users' days, and at a third of the deepest service the
-/// simulated chain served 0.22 of all requests instead of the 0.25 required (docs/DECISIONS.md,
-/// round 1d). 1.74 equals 3 x [`LEAST_COST_WEIGHT`], so that no costly request falls behind a cheap one of
-/// the next priority.
+/// shed. A weight of 4 made no difference on recorded days, and at a third of the deepest service
+/// the simulated chain served 0.22 of all requests instead of the 0.25 required
+/// (`docs/DECISIONS.md`). 1.74 equals 3 x [`LEAST_COST_WEIGHT`], so that no costly request falls
+/// behind a cheap one of the next priority.
 const PRIORITY_WEIGHT: [f64; 3] = [3.0, 1.74, 1.0];
 /// Factor for each priority of tenants below a tenant's own. It exceeds 3 / [`LEAST_WEIGHT`] = 5.17,
 /// the greatest ratio of two routes' weights, so that a tenant's rank goes before any priority.
--- a/crates/tallybridge-mesh/src/tables/backend/offered_load.rs
+++ b/crates/tallybridge-mesh/src/tables/backend/offered_load.rs
@@ -10,9 +10,9 @@
 /// Time over which the rate of arrivals is taken. Origin of the figure not recorded.
 const ARRIVAL_SPAN: Duration = Duration::from_millis(300);
 /// Time over which the mean time that calls hold a slot is taken. The mean of the last twenty calls said
-/// 30 or 75 ms by chance where calls of 30 and of 480 ms are mixed, so admission swung; over a second
-/// the users' day trouble-3 went from 0.769 to 0.867 of the worth, together with nested calls that go
-/// first again (docs/DECISIONS.md, round 6).
+/// 30 or 75 ms by chance where calls of 30 and of 480 ms are mixed, so admission swung. A mean over
+/// a second, together with nested calls going first, raised a recorded day from 0.769 to 0.867 of the value
+/// of its requests, one run each (`docs/DECISIONS.md`).
 const HELD_SPAN: Duration = Duration::from_millis(1000);
 /// Sum of the faded counts of ended calls below which that mean says nothing. Origin not recorded.
 const LEAST_ENDED: f64 = 0.5;
--- a/crates/tallybridge-mesh/src/tables/backend/slot_share/mod.rs
+++ b/crates/tallybridge-mesh/src/tables/backend/slot_share/mod.rs
@@ -16,15 +16,17 @@
 //! surge builds up keeps the back end there when the surge is over. A back end that became slow at every
 //! load shows no gain at a lower share, and keeps all of them.
 //!
-//! **Lost.** A smaller fixed share of 82%: better than trials where back ends slow down from 85% on (0.411
-//! beside 0.365 of the worth of a day), and 0.482 to 0.415 and 0.742 to 0.640 where they don't. The adaptive
-//! limit of the standalone program: its probe by a quarter sees no gain where the best share lies further
-//! down ([DESIGN.md](../../../../../../docs/DESIGN.md), "Ways weighed").
+//! **Measured and not better.** A smaller fixed share of 82%: better than trials where back ends
+//! slow down from 85% on (0.411 beside 0.365 of the value of the requests of a recorded day), and
+//! 0.482 to 0.415 and 0.742 to 0.640 where they don't. The adaptive limit of the standalone
+//! program: its probe by a quarter sees no gain where the best share lies further down
+//! ([DESIGN.md](../../../../../../docs/DESIGN.md), "Ways weighed").
 //!
-//! **Constants.** They were measured together, against a fixed 95%: 0.254 to 0.365 and 0.158 to 0.321 of the
-//! worth of a day where back ends slow down by 1.6 from 85% or by 2.5 from 60% of their slots on, and within
-//! noise where they don't ([MEASUREMENTS.md](../../../../../../docs/MEASUREMENTS.md), "Slots"). No trial of a
-//! single constant is recorded.
+//! **Constants.** They were measured together, against a fixed 95%: 0.254 to 0.365 and 0.158 to
+//! 0.321 of the value of the requests of a recorded day where back ends slow down by 1.6 from 85%
+//! or by 2.5 from 60% of their slots on, and within noise where they don't
+//! ([MEASUREMENTS.md](../../../../../../docs/MEASUREMENTS.md), "Slots"). No trial of a single
+//! constant is recorded.
 
 mod low_load;
 mod means;
--- a/crates/tallybridge-mesh/src/tables/peers/placement/mod.rs
+++ b/crates/tallybridge-mesh/src/tables/peers/placement/mod.rs
@@ -22,10 +22,10 @@
 //! sent when every executor has something against it. Failure rates are compared within the service
 //! in [`outliers`].
 //!
-//! **Constants.** Each says which measurement set it. What each policy switch is worth stands in
-//! docs/DECISIONS.md ("Ablation"). Weighed and lost, in docs/FINDINGS.md: a random choice by what
-//! back ends complete, more random spread, slowness by the age of running calls, a cost for what a
-//! link adds to a call.
+//! **Constants.** Each says which measurement set it, or that none is recorded. What each policy
+//! switch gains stands in `docs/DECISIONS.md` ("Ablation"). Measured and not better, in
+//! `docs/FINDINGS.md`: a random choice by what back ends complete, more random spread, slowness by
+//! the age of running calls, a cost for what a link adds to a call.
 
 mod outliers;
 
@@ -41,9 +41,10 @@
     protocol::{BackendState, Load},
 };
 
-/// Cost of an executor in another zone, in utilization. Traffic between zones costs money and hardly
-/// any time: keeping calls in their zone is worth 0.012 and 0.077 of a day's worth on two of three
-/// sites and serves as many (docs/DECISIONS.md, `prefer_own_zone`). Origin of the figure not recorded.
+/// Cost of an executor in another zone, in utilization. Traffic between zones costs money and
+/// hardly any time: keeping calls in their zone gains 0.012 and 0.077 of the value of a recorded
+/// day on two of three sites and serves as many (`docs/DECISIONS.md`, `prefer_own_zone`). Origin of
+/// the figure not recorded.
 const CROSSING_COST: f64 = 0.35;
 /// Utilization from which an executor counts as full, so that one with room in another zone is
 /// preferred to it. Origin not recorded.
--- a/crates/tallybridge-mesh/src/tables/peers/placement/outliers.rs
+++ b/crates/tallybridge-mesh/src/tables/peers/placement/outliers.rs
@@ -11,13 +11,14 @@
 //!
 //! **Output.** A cost in utilization; the executor to probe with a call, if one is due.
 //!
-//! **Why.** A back end that fails at once looks idle and would draw all calls to itself. One of 17 that
-//! did so left 5 of 100 requests served for six seconds; with this rule that day went from 0.620 to
-//! 0.941 of its worth (docs/FINDINGS.md, "it looks idle and draws all calls"). What fails for a reason
-//! further down the chain fails at all executors alike, so they are compared with each other. Weighed
-//! and lost: each entry judging for itself (it sees some ten calls a second of an executor, too few),
-//! the mean of the service in place of the quartile (a failure further down moves it), a retry of every
-//! failure (a request that fails at a healthy back end fails at the next one too).
+//! **Why.** A back end that fails at once looks idle and would draw all calls to itself. One of 17
+//! that did so left 5 of 100 requests served for six seconds; with this rule that day went from
+//! 0.620 to 0.941 of the value of its requests (docs/FINDINGS.md, "it looks idle and draws all
+//! calls"). What fails for a reason further down the chain fails at all executors alike, so they
+//! are compared with each other. Measured and not better: each entry judging for itself (it sees
+//! some ten calls a second of an executor, too few), the mean of the service in place of the
+//! quartile (a failure further down moves it), a retry of every failure (a request that fails at a
+//! healthy back end fails at the next one too).
 
 use std::{net::SocketAddr, time::Duration};
 
--- a/crates/tallybridge-mesh/src/tables/peers/quota_owner.rs
+++ b/crates/tallybridge-mesh/src/tables/peers/quota_owner.rs
@@ -1,4 +1,5 @@
-//! Which node owns the rate limit of a tenant. The rule of limits: [`tables::quotas`](crate::tables::quotas).
+//! Which node owns the rate limit of a tenant. The rule of limits:
+//! [`tables::quotas`](crate::tables::quotas).
 
 use std::{collections::HashSet, sync::Arc};
 
@@ -19,9 +20,9 @@
 }
 
 impl PeerTable {
-    /// The node that ranks first for a tenant, by rendezvous hashing, among those that this one reaches. Only
-    /// nodes of services count whose nodes are all linked to, so that every node ranks the same ones; where
-    /// no service is, the limit is split.
+    /// The node that ranks first for a tenant, by rendezvous hashing, among those that this one
+    /// reaches. Only nodes of services count whose nodes are all linked to, so that every node
+    /// ranks the same ones; where no service is, the limit is split.
     #[must_use]
     pub fn quota_owner(&self, tenant: &str) -> QuotaOwner {
         let partly_linked = self.partly_linked_services();
--- a/crates/tallybridge-mesh/src/tables/quarantine/digest.rs
+++ b/crates/tallybridge-mesh/src/tables/quarantine/digest.rs
@@ -1,8 +1,8 @@
 //! The identity of a request.
 //!
-//! Two attempts are the same request if tenant, host, request line and body are equal byte by byte. The id of
-//! the attempt, the time left and other header fields differ from one attempt to the next. Nodes store, send
-//! and log digests only, never the content of a request.
+//! Two attempts are the same request if tenant, host, request line and body are equal byte by byte.
+//! The id of the attempt, the time left and other header fields differ from one attempt to the
+//! next. Nodes store, send and log digests only, never the content of a request.
 
 use sha2::{Digest, Sha256};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -55,8 +55,8 @@
         Self::of_parts(&call.head, &call.body, names)
     }
 
-    /// The content of a call by the head and body that its back end gets. A head without a line, host, tenant
-    /// or caller has an empty part in its place.
+    /// The content of a call by the head and body that its back end gets. A head without a line,
+    /// host, tenant or caller has an empty part in its place.
     #[must_use]
     pub fn of_parts(head: &'a [u8], body: &'a [u8], names: &HeaderNames) -> Self {
         let mut lines = head.split(|byte| *byte == b'\n');
--- a/crates/tallybridge-mesh/src/tables/quarantine/recent_answers.rs
+++ b/crates/tallybridge-mesh/src/tables/quarantine/recent_answers.rs
@@ -9,7 +9,8 @@
 
 use crate::clock::BootInstant;
 
-/// Age of a generation: an answer counts for at least this time and at most twice as long. Origin not recorded.
+/// Age of a generation: an answer counts for at least this time and at most twice as long. Origin
+/// not recorded.
 const GENERATION: Duration = Duration::from_secs(10);
 /// Requests in one generation: two of them take some 200 KB. Origin not recorded.
 const MAX_REQUESTS: usize = 4096;
--- a/crates/tallybridge-mesh/src/tables/quarantine/recent_events.rs
+++ b/crates/tallybridge-mesh/src/tables/quarantine/recent_events.rs
@@ -8,7 +8,8 @@
 const MAX_REPORTS: usize = 512;
 /// Cleared requests that are remembered, 32 bytes each. Origin not recorded.
 const MAX_CLEARED: usize = 1024;
-/// Time for which a cleared request is not quarantined by what other nodes still report of it. Origin not recorded.
+/// Time for which a cleared request is not quarantined by what other nodes still report of it.
+/// Origin not recorded.
 const CLEARED_TTL: Duration = Duration::from_secs(60);
 
 /// Crash reports that were counted, by id: a report arrives over several links and counts once.
--- a/crates/tallybridge-mesh/src/tables/quarantine/record.rs
+++ b/crates/tallybridge-mesh/src/tables/quarantine/record.rs
@@ -9,9 +9,9 @@
     protocol::{QuarantinedRequest, RequestDigest},
 };
 
-/// Crashes after which a request is quarantined. Fewer would quarantine requests that were running by chance when
-/// back ends crashed for reasons of their own; a fourth would cost one more back end with all its calls
-/// (docs/design/quarantine.md, "Which call is to blame").
+/// Crashes after which a request is quarantined. Fewer would quarantine requests that were running
+/// by chance when back ends crashed for reasons of their own; a fourth would cost one more back end
+/// with all its calls (docs/design/quarantine.md, "Which call is to blame").
 pub const CRASHES_TO_QUARANTINE: u8 = 3;
 /// How long a request is quarantined after the third crash, the fourth, the fifth and any further one. The
 /// first time is short, as calls that were cut at one back end and retried at the next to crash are
@@ -25,13 +25,15 @@
 ];
 /// The longest of these times, also for what another node reports.
 pub(super) const LONGEST_QUARANTINE: Duration = QUARANTINE_TIMES[QUARANTINE_TIMES.len() - 1];
-/// Each node releases a request up to this share of its quarantine late, at random, so that one node tries it
-/// first and the others learn of that. Origin not recorded.
+/// Each node releases a request up to this share of its quarantine late, at random, so that one
+/// node tries it first and the others learn of that. Origin not recorded.
 const RELEASE_SPREAD: f64 = 0.2;
-/// Time for which the other runs of a request stay refused while one run tries it again. A run that crashes
-/// the back end does so well within it, and the crash then quarantines the request for longer. Origin not recorded.
+/// Time for which the other runs of a request stay refused while one run tries it again. A run that
+/// crashes the back end does so well within it, and the crash then quarantines the request for
+/// longer. Origin not recorded.
 pub(super) const TRIAL: Duration = Duration::from_secs(2);
-/// Time after the last crash for which a suspect is remembered that was never quarantined. Origin not recorded.
+/// Time after the last crash for which a suspect is remembered that was never quarantined. Origin
+/// not recorded.
 const SUSPECT_TTL: Duration = Duration::from_secs(120);
 /// Time after its release for which a request is remembered that was quarantined, so that its next crash
 /// counts on from the earlier ones. Origin not recorded.
--- a/crates/tallybridge-mesh/src/tables/quarantine/suspects.rs
+++ b/crates/tallybridge-mesh/src/tables/quarantine/suspects.rs
@@ -1,11 +1,11 @@
 //! Which calls are suspects of a crash.
 //!
-//! **Rule.** A crash has as suspects the calls that lost their connection within the 10 s before it was found
-//! and those that were cancelled within the second before, except for popular requests; the last to begin are
-//! named first, at most 64 of them with both their digests.
+//! **Rule.** A crash has as suspects the calls that lost their connection within the 10 s before it
+//! was found and those that were cancelled within the second before, except for popular requests;
+//! the last to begin are named first, at most 64 of them with both their digests.
 //!
-//! **Why.** Nothing shows which of them caused the crash. docs/design/quarantine.md, "Which call is to blame",
-//! weighs this against blame by share of the running calls.
+//! **Why.** Nothing shows which of them caused the crash. docs/design/quarantine.md, "Which call is
+//! to blame", weighs this against blame by share of the running calls.
 
 use std::{cmp::Reverse, collections::HashSet, time::Duration};
 
@@ -15,11 +15,12 @@
 };
 use crate::{clock::BootInstant, protocol::RequestDigest, tables::Incarnation};
 
-/// Age up to which a call that lost its connection is a suspect: a crashed back end is replaced some seconds
-/// later, and its crash may be known only by the id or start of its successor. Origin not recorded.
+/// Age up to which a call that lost its connection is a suspect: a crashed back end is replaced
+/// some seconds later, and its crash may be known only by the id or start of its successor. Origin
+/// not recorded.
 const LOST_FOR: Duration = Duration::from_secs(10);
-/// Age up to which a cancelled call is a suspect: most back ends stop at once when a call is cancelled, some
-/// work on. Origin not recorded.
+/// Age up to which a cancelled call is a suspect: most back ends stop at once when a call is
+/// cancelled, some work on. Origin not recorded.
 const CANCELLED_FOR: Duration = Duration::from_secs(1);
 /// Calls of which a report has both digests, 2 KB in all. Where there are more those that began last are
 /// named, as a request crashes its back end soon after it begins. Origin not recorded.
--- a/crates/tallybridge-mesh/src/tables/quarantine/table.rs
+++ b/crates/tallybridge-mesh/src/tables/quarantine/table.rs
@@ -93,8 +93,8 @@
         has_changed
     }
 
-    /// The quarantine of a call, by the first of its digests that is quarantined. `left` is the time until this
-    /// node releases it.
+    /// The quarantine of a call, by the first of its digests that is quarantined. `left` is the
+    /// time until this node releases it.
     #[must_use]
     pub fn find(&self, digests: &[RequestDigest], now: BootInstant) -> Option<QuarantinedRequest> {
         digests.iter().find_map(|digest| {
@@ -141,8 +141,8 @@
         true
     }
 
-    /// The records that a node without a table needs: requests with at least one crash less than quarantines
-    /// them, at most 256, those with the most crashes and the longest time left first.
+    /// The records that a node without a table needs: requests with at least one crash less than
+    /// quarantines them, at most 256, those with the most crashes and the longest time left first.
     #[must_use]
     pub fn snapshot(&self, now: BootInstant) -> Vec<QuarantinedRequest> {
         let is_shared = |record: &Record| record.crashes + 1 >= CRASHES_TO_QUARANTINE;
--- a/crates/tallybridge-mesh/src/tables/quotas/entry.rs
+++ b/crates/tallybridge-mesh/src/tables/quotas/entry.rs
@@ -14,7 +14,8 @@
 /// to an entry is asked for one by one; one with a limit of 1,000 a second over 82 nodes then costs 0.36
 /// messages a request (`docs/design/quotas.md`).
 const AHEAD_S: f64 = 0.1;
-/// Time constant in seconds over which the rate decays by which tokens are asked ahead. Origin not recorded.
+/// Time constant in seconds over which the rate decays by which tokens are asked ahead. Origin not
+/// recorded.
 const RATE_DECAY_S: f64 = 1.0;
 /// Longest time for which requests are refused without asking the owner again: shorter than the 55 ms for
 /// which a new owner waits for reports of what was granted before.
--- a/crates/tallybridge-mesh/src/tables/quotas/epochs.rs
+++ b/crates/tallybridge-mesh/src/tables/quotas/epochs.rs
@@ -1,10 +1,10 @@
 //! How many tokens of a tenant its owners granted, by epochs of owners and parts of the window.
 //!
-//! An owner reports this with each grant, and entries pass it on to the next owner. An *epoch* is a time for
-//! which one node is the owner without a break. What was granted in one epoch only grows, so of two reports
-//! of it the one with the greater total is the newer: no grant counts twice or is missed, whichever way the
-//! reports came. The window is counted in parts since a burst must leave it when it is over, not before.
-//! Other ways and their counts: `docs/design/quotas.md`.
+//! An owner reports this with each grant, and entries pass it on to the next owner. An *epoch* is a
+//! time for which one node is the owner without a break. What was granted in one epoch only grows,
+//! so of two reports of it the one with the greater total is the newer: no grant counts twice or is
+//! missed, whichever way the reports came. The window is counted in parts since a burst must leave
+//! it when it is over, not before. Other ways and their counts: `docs/design/quotas.md`.
 
 use std::{collections::HashMap, time::Duration};
 
--- a/crates/tallybridge-mesh/src/tables/quotas/mod.rs
+++ b/crates/tallybridge-mesh/src/tables/quotas/mod.rs
@@ -1,21 +1,21 @@
 //! The rate limits of tenants, which hold over the whole fleet.
 //!
 //! **Rule.** Each tenant has one *owner*, the node that ranks first for it among the nodes in reach
-//! (rendezvous hashing, [`PeerTable::quota_owner`](crate::tables::PeerTable::quota_owner)). The owner keeps
-//! the tenant's only token bucket, and an entry admits a request with a token of that bucket alone. An owner
-//! gives a token while its bucket holds one and the last window holds fewer requests than the limit and a
-//! part of what users allow on top.
+//! (rendezvous hashing, [`PeerTable::quota_owner`](crate::tables::PeerTable::quota_owner)). The
+//! owner keeps the tenant's only token bucket, and an entry admits a request with a token of that
+//! bucket alone. An owner gives a token while its bucket holds one and the last window holds fewer
+//! requests than the limit and a part of what users allow on top.
 //!
 //! **Inputs.**
 //! * The limit: requests a second and a burst, by the configuration in force.
 //! * What users allow beyond it ([`QuotaSlack`]): window in seconds, share of the limit, requests.
-//! * With each ask, the requests that the entry admitted within the last window ([`QuotaAsk::spent`]; exact
-//!   to a twentieth of the window), and what it learned of grants by all owners ([`QuotaAsk::fleet`]; as old
-//!   as the last answer that the entry got).
+//! * With each ask, the requests that the entry admitted within the last window
+//!   ([`QuotaAsk::spent`]; exact to a twentieth of the window), and what it learned of grants by
+//!   all owners ([`QuotaAsk::fleet`]; as old as the last answer that the entry got).
 //! * Which nodes are in reach, at each tick, and when the store was last read ([`Ownership`]).
 //!
-//! **Output.** [`QuotaGrant`]: tokens, or the time after which to come back, or "not the owner", after which
-//! the entry asks again as long as its request may wait.
+//! **Output.** [`QuotaGrant`]: tokens, or the time after which to come back, or "not the owner",
+//! after which the entry asks again as long as its request may wait.
 //!
 //! **Why.** Of three ways that were compared, one owner alone refuses nobody below the limit; equal parts
 //! and parts by demand refused up to 0.98 and 0.31 of such a tenant's requests. Owners change as nodes come
@@ -54,7 +54,8 @@
     slack::QuotaSlack,
 };
 
-/// Parts in which the requests of a window are counted: a count is exact to a twentieth of the window. A sum
-/// that decays evenly forgot a burst before it had left the window (1,138 requests of 1,114 allowed in
-/// `tests/quota.rs`; `docs/design/quotas.md`). Origin of the number of parts not recorded.
+/// Parts in which the requests of a window are counted: a count is exact to a twentieth of the
+/// window. A sum that decays evenly forgot a burst before it had left the window (1,138 requests of
+/// 1,114 allowed in `tests/quota.rs`; `docs/design/quotas.md`). Origin of the number of parts not
+/// recorded.
 const WINDOW_PARTS: u32 = 20;
--- a/crates/tallybridge-mesh/src/tables/quotas/owner.rs
+++ b/crates/tallybridge-mesh/src/tables/quotas/owner.rs
@@ -9,12 +9,13 @@
     configuration::tenants::{RateLimit, Tenant},
 };
 
-/// Time without an ask after which a bucket is forgotten: it is full again by then, or nearly. Origin of the
-/// figure not recorded.
+/// Time without an ask after which a bucket is forgotten: it is full again by then, or nearly.
+/// Origin of the figure not recorded.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
 
-/// An owner that was not asked for this time before the nodes in reach changed may have lost the role
-/// meanwhile. A tenant at its limit is asked for by each of its entries every 50 ms, so several times in it.
+/// An owner that was not asked for this time before the nodes in reach changed may have lost the
+/// role meanwhile. A tenant at its limit is asked for by each of its entries every 50 ms, so
+/// several times in it.
 const SHORTEST_BREAK: Duration = Duration::from_millis(150);
 
 /// Time for which a new owner gives nothing, if earlier grants are known to exist: longer than the 50 ms
--- a/crates/tallybridge-mesh/src/tables/quotas/ownership.rs
+++ b/crates/tallybridge-mesh/src/tables/quotas/ownership.rs
@@ -1,8 +1,8 @@
 //! When a node may act as the owner of tenants.
 //!
-//! **Rule.** A node that ranks first for a tenant gives tokens once it knows the fleet and while it can tell
-//! that no other node took over: it reaches at least half of the nodes that it links to, or the
-//! configuration was read from the store since it last did.
+//! **Rule.** A node that ranks first for a tenant gives tokens once it knows the fleet and while it
+//! can tell that no other node took over: it reaches at least half of the nodes that it links to,
+//! or the configuration was read from the store since it last did.
 //!
 //! **Inputs.** The nodes in reach, at each tick ([`Reach`]); when the store was asked for the newest
 //! configuration that is known to have been read.
--- a/crates/tallybridge-mesh/src/tables/quotas/slack.rs
+++ b/crates/tallybridge-mesh/src/tables/quotas/slack.rs
@@ -4,17 +4,19 @@
 
 use crate::{configuration::tenants::RateLimit, settings::TenantSettings};
 
-/// Part of what is allowed beyond a limit with which a new owner's bucket begins. An owner may be replaced
-/// several times within a window, and for a moment two nodes may act as owner: a quarter covers three
-/// changes with room for that, even if the bucket had just been emptied each time. With a half,
-/// `tests/quota.rs` counts 104 requests of 103 allowed with three changes. An empty bucket refused tenants
-/// that were within their limits after a loss of all nodes: the day trouble-3 earned 0.755, and 0.809 with a
-/// half (`docs/design/quotas.md`).
+/// Part of what is allowed beyond a limit with which a new owner's bucket begins. An owner may be
+/// replaced several times within a window, and for a moment two nodes may act as owner: a quarter
+/// covers three changes with room for that, even if the bucket had just been emptied each time.
+/// With a half, `tests/quota.rs` counts 104 requests of 103 allowed with three changes. An empty
+/// bucket refused tenants that were within their limits after a loss of all nodes: a recorded day
+/// with such a loss gave 0.755 of the value of its requests, and 0.809 with a half
+/// (`docs/design/quotas.md`).
 const FIRST_PART: f64 = 0.25;
 
-/// Part of what is allowed beyond a limit up to which a window is filled. The rest covers what entries have
-/// admitted and not reported yet, and the parts in which they count. Without the bound `tests/quota.rs`
-/// counts 153 requests of 152 allowed with a new owner each 0.5 to 1.5 s. Origin of the figure not recorded.
+/// Part of what is allowed beyond a limit up to which a window is filled. The rest covers what
+/// entries have admitted and not reported yet, and the parts in which they count. Without the bound
+/// `tests/quota.rs` counts 153 requests of 152 allowed with a new owner each 0.5 to 1.5 s. Origin
+/// of the figure not recorded.
 const MOST_PART: f64 = 0.25;
 
 /// By how much the requests of a tenant may exceed its limit, over all nodes together.
--- a/crates/tallybridge-mesh/src/tables/retries.rs
+++ b/crates/tallybridge-mesh/src/tables/retries.rs
@@ -27,10 +27,11 @@
 use tallybridge_limits::{Budget, BudgetSettings};
 
 /// Share of the ratio for retries to services that make no calls of their own, where a retry is
-/// cheapest. The rest covers calls that are sent and never arrive, which count here as first attempts
-/// and not at the service. A day on which such a service turned away half of its calls went from 0.513
-/// to 0.553 of its worth when it took the place of 0.6, nested calls of retries were charged and half
-/// was reserved for urgent calls (docs/design/shifted-work.md).
+/// cheapest. The rest covers calls that are sent and never arrive, which count here as first
+/// attempts and not at the service. A recorded day on which such a service turned away half of its
+/// calls went from 0.513 to 0.553 of the value of its requests when it took the place of 0.6,
+/// nested calls of retries were charged and half was reserved for urgent calls
+/// (docs/design/shifted-work.md).
 const LEAF_SHARE: f64 = 0.9;
 /// Share for retries to services that make calls, each of which makes all its nested calls again. Three
 /// of these and a share of 0.6 for the service at the end of a chain made up the ratio while nested
@@ -38,8 +39,8 @@
 const INNER_SHARE: f64 = 0.13;
 /// Most of a budget that is reserved for urgent calls. Where a whole service turns away half of its
 /// calls there is not enough for all. Shared alike, it was used up by reads with twice as many calls,
-/// for next to no answer: the worst seconds of such a time earned 0.14 of what they could, and 0.27 with
-/// this (82 machines, one play each). Origin of the figure itself not recorded.
+/// for next to no answer: the worst seconds of such a time gave 0.14 of the value of their requests, and
+/// 0.27 with this (82 machines, one run each). Origin of the figure itself not recorded.
 const MAX_RESERVED: f64 = 0.9;
 /// Weight of the newest first attempt in the demand of urgent calls. A node deep in a chain sends some
 /// two thousand calls a second and so sees a change within a quarter of one.
--- a/crates/tallybridge-mesh/src/tables/watchers.rs
+++ b/crates/tallybridge-mesh/src/tables/watchers.rs
@@ -7,9 +7,9 @@
 
 use crate::clock::BootInstant;
 
-/// Age up to which a confirmation of a peer counts. A watcher confirms every 500 ms, so one confirmation may
-/// be lost; and a node that nobody confirms any more watches itself well within the shortest time that users
-/// allow a change to be in force, 2 s.
+/// Age up to which a confirmation of a peer counts. A watcher confirms every 500 ms, so one
+/// confirmation may be lost; and a node that nobody confirms any more watches itself well within
+/// the shortest time that users allow a change to be in force, 2 s.
 const CONFIRMED_WITHIN: Duration = Duration::from_millis(1200);
 
 /// What the store last confirmed to one peer.
--- a/crates/tallybridge-mesh/src/tasks/backoff.rs
+++ b/crates/tallybridge-mesh/src/tasks/backoff.rs
@@ -12,8 +12,8 @@
 /// Longest wait after a call that failed. Origin not recorded.
 const RETRY_MAX: Duration = Duration::from_millis(1200);
 
-/// Factors by which a wait after a failure varies, so that nodes that failed together don't call again together.
-/// Origin not recorded.
+/// Factors by which a wait after a failure varies, so that nodes that failed together don't call
+/// again together. Origin not recorded.
 const JITTER: Range<f64> = 0.6..1.4;
 
 /// Waits that double with each failure in a row.
--- a/crates/tallybridge-mesh/src/tasks/configuration/peers.rs
+++ b/crates/tallybridge-mesh/src/tasks/configuration/peers.rs
@@ -14,12 +14,13 @@
 /// Time in which an answer to a fetch is expected before a peer is asked again. Origin of the figure not
 /// recorded.
 const FETCH_PAUSE: Duration = Duration::from_millis(100);
-/// Time that a peer must have had a newer configuration before a watcher asks for it: its own watch is nearly
-/// always sooner. With 700 ms a change was in force after 2.1 s where the store was silent to all watchers;
-/// users allow 2 s.
+/// Time that a peer must have had a newer configuration before a watcher asks for it: its own watch
+/// is nearly always sooner. With 700 ms a change was in force after 2.1 s where the store was
+/// silent to all watchers; users allow 2 s.
 const PEER_AHEAD: Duration = Duration::from_millis(200);
-/// Time of being behind after which a watch is suspected: longer than the 400 ms that a watcher pauses after
-/// a change, in which each node is a little behind the others. Origin of the figure not recorded.
+/// Time of being behind after which a watch is suspected: longer than the 400 ms that a watcher
+/// pauses after a change, in which each node is a little behind the others. Origin of the figure
+/// not recorded.
 const WATCH_BEHIND: Duration = Duration::from_millis(700);
 
 /// Fetches the configuration from a peer that has a newer one: at once if this node follows its peers, and
--- a/crates/tallybridge-mesh/src/tasks/configuration/revocations.rs
+++ b/crates/tallybridge-mesh/src/tasks/configuration/revocations.rs
@@ -8,8 +8,8 @@
 use super::watch::read;
 use crate::node::Node;
 
-/// Part of `revoke_within_ms` after which the configuration is read anew. A fifth leaves room for three reads
-/// that fail before a key is refused for it. Origin of the figure not recorded.
+/// Part of `revoke_within_ms` after which the configuration is read anew. A fifth leaves room for
+/// three reads that fail before a key is refused for it. Origin of the figure not recorded.
 const READ_PART: f64 = 0.2;
 /// Time between reads where settings give no `revoke_within_ms`. Origin not recorded.
 const READ_INTERVAL: Duration = Duration::from_secs(2);
--- a/crates/tallybridge-mesh/src/tasks/configuration/watch.rs
+++ b/crates/tallybridge-mesh/src/tasks/configuration/watch.rs
@@ -12,9 +12,9 @@
     tasks::backoff::{Backoff, count_store_call},
 };
 
-/// Longest wait for a change in one call. Every call is paid for, so a watch waits long; that the store still
-/// answers is shown by the renewals of the registration, which cost far less. Watches of 4 s took 245 calls
-/// of twelve nodes on a calm day, these 127.
+/// Longest wait for a change in one call. Every call is paid for, so a watch waits long; that the
+/// store still answers is shown by the renewals of the registration, which cost far less. Watches
+/// of 4 s took 245 calls of twelve nodes on a calm day, these 127.
 const WATCH: Duration = Duration::from_secs(25);
 /// Wait after a change, so that several in quick succession are read in one call. Origin of the figure not
 /// recorded.
--- a/crates/tallybridge-mesh/src/tasks/configuration/watchers.rs
+++ b/crates/tallybridge-mesh/src/tasks/configuration/watchers.rs
@@ -1,17 +1,18 @@
 //! Who watches the store.
 //!
-//! **Rule.** A node watches the store while the fleet is small, or while fewer than [`WATCHERS`] of the peers
-//! that it links to have confirmed its version. One that watches in vain stops while more than
-//! [`WATCHERS_KEPT`] peers do.
+//! **Rule.** A node watches the store while the fleet is small, or while fewer than [`WATCHERS`] of
+//! the peers that it links to have confirmed its version. One that watches in vain stops while more
+//! than [`WATCHERS_KEPT`] peers do.
 //!
 //! **Inputs.** [`WatchView`]: the number of nodes known, linked to and in reach, and of peers whose
 //! confirmation of this version or a newer one is at most 1.2 s old ([`WatcherTable`]).
 //!
 //! **Output.** When a node begins and stops to watch.
 //!
-//! **Why.** There is no election: a watcher that is killed, frozen, cut off or refused by the store is the
-//! same as one too few, so one rule covers the start, the loss of any watchers and a fleet cut in two. Leases
-//! and ranks lost since a holder that is cut off must first be found out (docs/DESIGN.md, "Ways weighed").
+//! **Why.** There is no election: a watcher that is killed, frozen, cut off or refused by the store
+//! is the same as one too few, so one rule covers the start, the loss of any watchers and a fleet
+//! cut in two. Leases and ranks lost since a holder that is cut off must first be found out
+//! (docs/DESIGN.md, "Ways weighed").
 //!
 //! [`WatcherTable`]: crate::tables::WatcherTable
 
@@ -39,9 +40,9 @@
 /// The same while they do: each check wakes the process, and 100 ms are little beside the 1.2 s for which a
 /// confirmation counts.
 const WATCH_CHECK_COVERED: Duration = Duration::from_millis(100);
-/// Each peer in reach, which sees about the same as this node, adds this to the time within which nodes begin
-/// to watch one after the other. With confirmations each 500 ms a change stays within 2 s in
-/// `platform/tests/path/watchers.rs`. Origin of the figure not recorded.
+/// Each peer in reach, which sees about the same as this node, adds this to the time within which
+/// nodes begin to watch one after the other. With confirmations each 500 ms a change stays within 2
+/// s in `platform/tests/path/watchers.rs`. Origin of the figure not recorded.
 const WINDOW_PER_PEER: Duration = Duration::from_millis(20);
 /// Time that nodes need at the first start of the whole fleet until they know each other. Origin of the
 /// figure not recorded.
@@ -68,8 +69,8 @@
         WINDOW_PER_PEER.mul_f64(self.reached as f64) + WATCH_CHECK
     }
 
-    /// Whether a watcher may stop. Others may decide that at the same time, so each stops with a probability
-    /// that leaves [`WATCHERS_KEPT`] on average.
+    /// Whether a watcher may stop. Others may decide that at the same time, so each stops with a
+    /// probability that leaves [`WATCHERS_KEPT`] on average.
     fn may_stop(&self) -> bool {
         if !self.is_shared() || self.confirming <= WATCHERS_KEPT {
             return false;
@@ -79,8 +80,8 @@
     }
 }
 
-/// Waits after a start until the node is linked to peers from which it may learn the configuration, if there
-/// are any.
+/// Waits after a start until the node is linked to peers from which it may learn the configuration,
+/// if there are any.
 pub(super) async fn links_opened(node: &Node) {
     if node.settings.new_fleet {
         sleep(FIRST_START).await;
@@ -123,8 +124,8 @@
     }
 }
 
-/// Waits until so many peers watch the store that this node need not. A watch that is given up costs nothing
-/// more.
+/// Waits until so many peers watch the store that this node need not. A watch that is given up
+/// costs nothing more.
 pub(super) async fn relieved(node: &Node) {
     loop {
         sleep(RELIEF_CHECK).await;
--- a/crates/tallybridge-mesh/src/tasks/crash_detection.rs
+++ b/crates/tallybridge-mesh/src/tasks/crash_detection.rs
@@ -1,13 +1,13 @@
 //! Detects a crash of the back end beside this node when calls lose their connections to it.
 //!
-//! **Rule.** When every call at the back end has lost its connection, one connection is tried: refused, the
-//! back end has crashed; accepted, it runs; neither, the next health check or report shows which instance and
-//! start is there.
+//! **Rule.** When every call at the back end has lost its connection, one connection is tried:
+//! refused, the back end has crashed; accepted, it runs; neither, the next health check or report
+//! shows which instance and start is there.
 //!
-//! **Why.** On the same machine only a process that is gone refuses connections. Lost connections alone are no
-//! proof: a back end above its bound of connections resets them too. A new instance alone shows a crash seconds
-//! late, and the same request crashes others meanwhile (docs/design/quarantine.md, "What shows that a back end
-//! ended").
+//! **Why.** On the same machine only a process that is gone refuses connections. Lost connections
+//! alone are no proof: a back end above its bound of connections resets them too. A new instance
+//! alone shows a crash seconds late, and the same request crashes others meanwhile
+//! (docs/design/quarantine.md, "What shows that a back end ended").
 
 use std::{io, sync::Arc, time::Duration};
 
@@ -18,7 +18,8 @@
 
 use crate::node::Node;
 
-/// Time from the first lost connection in which the other calls at a crashed back end lose theirs. Origin not recorded.
+/// Time from the first lost connection in which the other calls at a crashed back end lose theirs.
+/// Origin not recorded.
 const SETTLE: Duration = Duration::from_millis(5);
 /// Longest wait for the connection that is tried, to a process on the same machine. Origin not recorded.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/tallybridge-mesh/src/tasks/registration.rs
+++ b/crates/tallybridge-mesh/src/tasks/registration.rs
@@ -1,14 +1,14 @@
 //! Keeps this node registered in the store, and the nodes of the registry known.
 //!
-//! **Rule.** A node reads the registry, registers under a lease, and renews that for as long as the process
-//! lives. A renewal that fails is tried again under the same lease; a node registers anew only once the store
-//! says that the lease is over. A node that watches the store renews more often, since each renewal confirms
-//! its configuration ([`configuration`](super::configuration)).
+//! **Rule.** A node reads the registry, registers under a lease, and renews that for as long as the
+//! process lives. A renewal that fails is tried again under the same lease; a node registers anew
+//! only once the store says that the lease is over. A node that watches the store renews more
+//! often, since each renewal confirms its configuration ([`configuration`](super::configuration)).
 //!
-//! **Why.** Calls are paid for, and a new registration costs many times as much as a renewal: leases that are
-//! kept and reads that may be seconds old took a large site from 688 calls a day to 560. A lease that lapses
-//! takes no node out of service: peers judge each other by the contact on their links (docs/DESIGN.md,
-//! "Registry").
+//! **Why.** Calls are paid for, and a new registration costs many times as much as a renewal:
+//! leases that are kept and reads that may be seconds old took a large site from 688 calls a day to
+//! 560. A lease that lapses takes no node out of service: peers judge each other by the contact on
+//! their links (docs/DESIGN.md, "Registry").
 //!
 //! Reading the registry: `registry.rs`.
 
@@ -26,19 +26,19 @@
 /// Lifetime of a registration without renewal: an outage of the store that is shorter ends none. Origin of
 /// the figure not recorded.
 const REGISTRATION: Duration = Duration::from_secs(20);
-/// Time between renewals of a node that learns of changes from peers: three within a lifetime. Origin of the
-/// figure not recorded.
+/// Time between renewals of a node that learns of changes from peers: three within a lifetime.
+/// Origin of the figure not recorded.
 const RENEWAL: Duration = Duration::from_secs(6);
 /// The same of a node that watches the store for itself: each renewal confirms the configuration, which is
 /// trusted to know all routes for 6 s.
 const RENEWAL_WATCHING: Duration = Duration::from_secs(4);
 /// The same of a node that watches the store for others as well, which trust a confirmation for 1.2 s.
 const RENEWAL_CONFIRMING: Duration = Duration::from_millis(500);
-/// Time between attempts to renew while the store does not answer: a node whose lease lapsed in an outage is
-/// registered again within some 2 s of the store's return.
+/// Time between attempts to renew while the store does not answer: a node whose lease lapsed in an
+/// outage is registered again within some 2 s of the store's return.
 const RENEWAL_RETRY: Duration = Duration::from_millis(600);
-/// Least part of the time between renewals that passes before the first one: nodes that start together don't
-/// renew together. Origin of the figure not recorded.
+/// Least part of the time between renewals that passes before the first one: nodes that start
+/// together don't renew together. Origin of the figure not recorded.
 const FIRST_RENEWAL_MIN: f64 = 0.25;
 /// Times between registering and the first reads of the registry after it. Each may show a registry that is
 /// seconds old: nodes that start together find each other with the later one.
--- a/crates/tallybridge-mesh/src/tasks/registry.rs
+++ b/crates/tallybridge-mesh/src/tasks/registry.rs
@@ -1,10 +1,11 @@
 //! Reading the registry: the list in the store of nodes, and behind them of quarantined requests.
 //!
-//! **Rule.** A small registry is read as a whole. Of a large one a node reads [`ENOUGH_NODES`] behind its own
-//! place, as it links to some nodes of each service only.
+//! **Rule.** A small registry is read as a whole. Of a large one a node reads [`ENOUGH_NODES`]
+//! behind its own place, as it links to some nodes of each service only.
 //!
-//! **Why.** Names begin with a hash, so the nodes behind a place are of all zones and services, and each node
-//! reads others. Nodes also learn of those that link to them, so these reads only complete the choice.
+//! **Why.** Names begin with a hash, so the nodes behind a place are of all zones and services, and
+//! each node reads others. Nodes also learn of those that link to them, so these reads only
+//! complete the choice.
 
 use std::{sync::Arc, time::Duration};
 
--- a/crates/tallybridge-mesh/src/tasks/reload.rs
+++ b/crates/tallybridge-mesh/src/tasks/reload.rs
@@ -1,6 +1,6 @@
-//! Settings that change while the node runs. They are read again at SIGHUP, and each second, as the platform
-//! may lay out a new file without a signal. What can't change while the node runs is named in the log
-//! ([`MeshSettings::fixed_differences`]).
+//! Settings that change while the node runs. They are read again at SIGHUP, and each second, as the
+//! platform may lay out a new file without a signal. What can't change while the node runs is named
+//! in the log ([`MeshSettings::fixed_differences`]).
 
 use std::{sync::Arc, time::Duration};
 
@@ -24,8 +24,8 @@
     fn read(&self) -> Result<String, SettingsError>;
 }
 
-/// Applies changed settings for as long as the process lives. Settings that can't be used are logged, and the
-/// last good ones stay in force.
+/// Applies changed settings for as long as the process lives. Settings that can't be used are
+/// logged, and the last good ones stay in force.
 pub async fn reload_settings(node: Arc<Node>, source: Arc<dyn SettingsSource>, mut hangup: Signal) {
     // No settings are empty, so that the next read that succeeds counts as a change.
     let mut last = read(&*source).unwrap_or_default();
--- a/crates/tallybridge-mesh/src/tasks/stored_quarantine.rs
+++ b/crates/tallybridge-mesh/src/tasks/stored_quarantine.rs
@@ -1,9 +1,10 @@
 //! Stores the quarantine in the registry, so that it outlasts the loss of all nodes.
 //!
-//! The node beside the back end that crashed last writes the snapshot of its table as one entry, under its own
-//! lease and behind the entries of the nodes. Whoever reads the registry reads it too, so a node that starts
-//! needs no call of its own to the store. The entry is renewed while the snapshot is not empty and written
-//! anew when a crash adds to it. While the store is down, peers pass the quarantine on.
+//! The node beside the back end that crashed last writes the snapshot of its table as one entry,
+//! under its own lease and behind the entries of the nodes. Whoever reads the registry reads it
+//! too, so a node that starts needs no call of its own to the store. The entry is renewed while the
+//! snapshot is not empty and written anew when a crash adds to it. While the store is down, peers
+//! pass the quarantine on.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,14 +19,15 @@
     protocol::{QuarantinedRequest, RequestDigest},
 };
 
-/// First character of the names of these entries: it sorts after those of nodes, which begin with a digit or
-/// a letter.
+/// First character of the names of these entries: it sorts after those of nodes, which begin with a
+/// digit or a letter.
 pub const QUARANTINE_PREFIX: &str = "~";
 /// Lease of an entry, the longest that the platform's store grants.
 const LEASE: Duration = Duration::from_secs(600);
 /// Time between renewals: two fit into a lease. Origin not recorded.
 const RENEWAL: Duration = Duration::from_secs(240);
-/// Wait before an entry is written, so that one write has all requests of a series of crashes. Origin not recorded.
+/// Wait before an entry is written, so that one write has all requests of a series of crashes.
+/// Origin not recorded.
 const GATHER: Duration = Duration::from_millis(150);
 
 /// An entry of the registry: the snapshot of one node.
@@ -57,8 +59,8 @@
         }
     }
 
-    /// Merges the entry of another node. The time left counts from now, so a quarantine lasts longer here by
-    /// the age of the entry.
+    /// Merges the entry of another node. The time left counts from now, so a quarantine lasts
+    /// longer here by the age of the entry.
     pub fn merge_into(&self, node: &Node) {
         for request in &self.requests {
             node.merge_quarantined(QuarantinedRequest {
