--- a/crates/tallybridge-mesh/src/listener/peers/mod.rs
+++ b/crates/tallybridge-mesh/src/listener/peers/mod.rs
@@ -22,11 +22,12 @@
         framing::{FrameSender, next_frame, read_hello, write_frames},
         liveness::UNACKNOWLEDGED_TIMEOUT,
     },
-    node::{Confirmed, Node},
+    node::Node,
     protocol::{
         ClockMessage, ConfirmationMessage, Frame, Message, QuotaAsk, QuotaAskMessage, QuotaGrant,
     },
     request::quota,
+    tables::Confirmed,
 };
 
 /// Time in which a node that connects must send its hello: twice what it waits for the answer.
--- a/crates/tallybridge-mesh/src/node/lifecycle.rs
+++ b/crates/tallybridge-mesh/src/node/lifecycle.rs
@@ -110,7 +110,7 @@
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let is_isolated = self.lifecycle.is_isolated.load(Ordering::Relaxed);
-        !self.is_stopping() && !is_isolated && self.tables().configuration.is_some()
+        !self.is_stopping() && !is_isolated && self.tables().configuration.in_force().is_some()
     }
 
     /// Records whether most peers can't be reached.
--- a/crates/tallybridge-mesh/src/node/mod.rs
+++ b/crates/tallybridge-mesh/src/node/mod.rs
@@ -40,18 +40,13 @@
 };
 
 pub use self::{
-    configuration::Confirmed,
     counters::Counters,
     dispatched::DispatchedCall,
     lifecycle::RequestInFlight,
     running::{NestedCall, RunningAttempt},
     store_watch::{PendingWatch, WatchView, WatcherRole},
 };
-use self::{
-    lifecycle::Lifecycle,
-    signals::Signals,
-    tables::{InForce, Tables},
-};
+use self::{lifecycle::Lifecycle, signals::Signals, tables::Tables};
 use crate::{
     clock::BootInstant,
     http::ConnectionPool,
--- a/crates/tallybridge-mesh/src/node/peers.rs
+++ b/crates/tallybridge-mesh/src/node/peers.rs
@@ -123,7 +123,7 @@
         let mut tables = self.tables();
         let version = status.version;
         tables.peers.record_status(address, status, Instant::now());
-        if version > tables.version() {
+        if version > tables.configuration.version() {
             self.signals.peer_ahead.notify_one();
         }
         if tables.instance.slots() == 0 {
--- a/crates/tallybridge-mesh/src/node/quotas.rs
+++ b/crates/tallybridge-mesh/src/node/quotas.rs
@@ -51,7 +51,7 @@
     }
 
     fn grant(&mut self, tenant: &Tenant, ask: QuotaAsk, now: BootInstant) -> QuotaGrant {
-        if !self.quota.ownership.may_own(self.read_at) {
+        if !self.quota.ownership.may_own(self.configuration.read_at()) {
             return QuotaGrant::NotOwner;
         }
         let since = self.quota.ownership.since();
--- a/crates/tallybridge-mesh/src/node/status.rs
+++ b/crates/tallybridge-mesh/src/node/status.rs
@@ -24,7 +24,7 @@
             backend: self.backend_state(tables.instance.state()),
             load,
             slots: tables.instance.slots(),
-            version: tables.version(),
+            version: tables.configuration.version(),
             calls: tables.called_services(Instant::now()),
         }
     }
--- a/crates/tallybridge-mesh/src/node/tables.rs
+++ b/crates/tallybridge-mesh/src/node/tables.rs
@@ -2,19 +2,17 @@
 
 use std::{collections::HashMap, sync::Arc};
 
-use bytes::Bytes;
 use tokio::time::Instant;
 
 use super::{list_requests::ListRequests, published_load::PublishedLoad, quotas::QuotaTables};
 use crate::{
     clock::BootInstant,
-    configuration::Configuration,
     platform::HeaderNames,
     protocol::{NodeRecord, PeerStatus},
     settings::MeshSettings,
     tables::{
-        AdmissionControl, FailureRate, LocalInstance, PeerTable, RetryBudgets, RunningAttempts,
-        ServiceLoads, WatcherTable,
+        AdmissionControl, ConfigurationTable, FailureRate, LocalInstance, PeerTable, RetryBudgets,
+        RunningAttempts, ServiceLoads, WatcherTable,
         quarantine::{DispatchedCalls, Quarantine},
     },
 };
@@ -44,18 +42,7 @@
     pub(super) published_load: PublishedLoad,
 
     /// The configuration in force.
-    pub(super) configuration: Option<InForce>,
-    /// When the store, or a peer that watches it, last confirmed the configuration.
-    pub(super) configuration_confirmed: Option<BootInstant>,
-    /// When the store last confirmed it to this node itself.
-    pub(super) confirmed_by_store: Option<BootInstant>,
-    /// When the store was asked for the newest configuration that is known to have been read, here
-    /// or at a peer, and that is not newer than the one in force. A confirmation rests on a watch
-    /// that may be lost; a read does not, so no key that was removed before it can still be in
-    /// force.
-    pub(super) read_at: Option<BootInstant>,
-    /// Version in force when the store last gave one to this node.
-    pub(super) version_from_store: u64,
+    pub(super) configuration: ConfigurationTable,
 
     /// Which fresh requests are admitted.
     pub(super) admission: AdmissionControl,
@@ -67,12 +54,6 @@
     pub(super) quarantine: Quarantine,
 }
 
-/// The configuration in force, with the document that it was read from.
-pub(super) struct InForce {
-    pub(super) configuration: Arc<Configuration>,
-    pub(super) document: Bytes,
-}
-
 impl Tables {
     /// Tables of a node that has learned nothing yet.
     pub(super) fn new(settings: &MeshSettings, record: NodeRecord, names: HeaderNames) -> Self {
@@ -87,11 +68,7 @@
             running: RunningAttempts::default(),
             dispatched: DispatchedCalls::new(names, BootInstant::now()),
             published_load: PublishedLoad::default(),
-            configuration: None,
-            configuration_confirmed: None,
-            confirmed_by_store: None,
-            read_at: None,
-            version_from_store: 0,
+            configuration: ConfigurationTable::default(),
             admission: AdmissionControl::new(settings.policy),
             retries: RetryBudgets::new(settings.retry),
             quota: QuotaTables::new(settings.tenants.into(), BootInstant::now()),
@@ -99,12 +76,6 @@
         }
     }
 
-    /// Version of the configuration in force; 0 for none.
-    pub(super) fn version(&self) -> u64 {
-        let in_force = self.configuration.as_ref();
-        in_force.map_or(0, |in_force| in_force.configuration.version)
-    }
-
     /// Whether back ends of a service make calls of their own.
     pub(super) fn calls_others(&self, service: &Arc<str>) -> bool {
         let mut statuses = self.peers.statuses();
--- a/crates/tallybridge-mesh/src/tables/mod.rs
+++ b/crates/tallybridge-mesh/src/tables/mod.rs
@@ -3,6 +3,7 @@
 
 pub mod admission;
 pub mod backend;
+pub mod configuration;
 pub mod peers;
 pub mod quarantine;
 pub mod quotas;
@@ -15,6 +16,7 @@
     EndedStart, FailureRate, FailureRateChange, Incarnation, InstanceState, LocalInstance,
     ReportEffect,
 };
+pub use configuration::{ConfigurationTable, Confirmed};
 pub use peers::{Executor, LinkRequest, PeerTable, PlacementQuery, QuotaOwner};
 pub use retries::{FirstAttempt, RetryBudgets, RetryRequest};
 pub use running::{FoundParent, NestedEnd, Parent, RunningAttempts};
--- a/crates/tallybridge-mesh/src/tasks/links.rs
+++ b/crates/tallybridge-mesh/src/tasks/links.rs
@@ -25,9 +25,9 @@
         framing::{next_frame, read_hello, write_frames},
         liveness::UNACKNOWLEDGED_TIMEOUT,
     },
-    node::{Confirmed, Node},
+    node::Node,
     protocol::{ConfirmationMessage, Frame, Message, NodeRecord},
-    tables::LinkRequest,
+    tables::{Confirmed, LinkRequest},
 };
 
 /// Time in which a connection must come up, and again time in which the other node must answer the
