--- a/crates/tallybridge-mesh/src/tasks/stored_quarantine.rs
+++ b/crates/tallybridge-mesh/src/tasks/stored_quarantine.rs
@@ -77,7 +77,7 @@
     loop {
         node.quarantine_grew().await;
         while let Err(reason) = store_until_empty(&node).await {
-            tracing::warn!(%reason, "held requests are not stored, peers hold them back meanwhile");
+            tracing::warn!(%reason, "quarantined requests are not stored, peers refuse them meanwhile");
         }
     }
 }
