--- a/crates/standalone/tallybridge-lab/src/fault/actions.rs
+++ b/crates/standalone/tallybridge-lab/src/fault/actions.rs
@@ -36,8 +36,7 @@
         match action {
             FaultAction::Kill { target } => {
                 let machine = self.machine(target)?;
-                machine.backend.kill().await;
-                machine.node.kill().await;
+                machine.stop().await;
             }
             FaultAction::RestartNode { target } => self.machine(target)?.node.restart().await?,
             FaultAction::Freeze { target } => self.machine(target)?.node.signal(Signal::SIGSTOP),
--- a/crates/standalone/tallybridge-lab/src/process/deployment.rs
+++ b/crates/standalone/tallybridge-lab/src/process/deployment.rs
@@ -65,6 +65,17 @@
             .find(|machine| machine.name == name)
     }
 
+    /// Kills all processes and waits until they are gone. A process that is only killed may still
+    /// accept connections after this program has ended.
+    pub async fn stop(mut self) {
+        for machine in &mut self.machines {
+            machine.stop().await;
+        }
+        if let Some(platform) = &mut self.platform {
+            platform.stop().await;
+        }
+    }
+
     async fn configure(&self, scenario: &Scenario) -> Result<(), ProcessError> {
         let Some(platform) = &self.platform else {
             return Ok(());
--- a/crates/standalone/tallybridge-lab/src/process/machine.rs
+++ b/crates/standalone/tallybridge-lab/src/process/machine.rs
@@ -56,6 +56,12 @@
         Err(self.node.not_ready())
     }
 
+    /// Kills both processes and waits until they are gone.
+    pub async fn stop(&mut self) {
+        self.backend.kill().await;
+        self.node.kill().await;
+    }
+
     /// Tells the back end what to do.
     ///
     /// # Errors
--- a/crates/standalone/tallybridge-lab/src/process/platform.rs
+++ b/crates/standalone/tallybridge-lab/src/process/platform.rs
@@ -31,7 +31,7 @@
     /// Address of the machine list.
     pub machine_list: SocketAddr,
     client: reqwest::Client,
-    _processes: [ChildProcess; 2],
+    processes: [ChildProcess; 2],
 }
 
 impl Platform {
@@ -61,10 +61,17 @@
             store: store.listening().await?.listening,
             machine_list: machine_list.listening().await?.listening,
             client,
-            _processes: [store, machine_list],
+            processes: [store, machine_list],
         })
     }
 
+    /// Kills both and waits until they are gone.
+    pub async fn stop(&mut self) {
+        for process in &mut self.processes {
+            process.kill().await;
+        }
+    }
+
     /// A client of the store.
     ///
     /// # Errors
--- a/crates/standalone/tallybridge-lab/src/run/round.rs
+++ b/crates/standalone/tallybridge-lab/src/run/round.rs
@@ -126,7 +126,7 @@
         if self.keep_files.is_some() {
             write_requests(directory, &load.requests)?;
         }
-        drop(deployment);
+        deployment.stop().await;
         for fault in &faults.faults {
             if let Some(failure) = &fault.failure {
                 // `ProgressBar::println` says nothing where there is no terminal.
