--- a/crates/tallybridge-mesh/src/tasks/crash_detection.rs
+++ b/crates/tallybridge-mesh/src/tasks/crash_detection.rs
@@ -7,7 +7,7 @@
 //! **Why.** On the same machine only a process that is gone refuses connections. Lost connections
 //! alone are no proof: a back end above its bound of connections resets them too. A new instance
 //! alone shows a crash seconds late, and the same request crashes others meanwhile
-//! (docs/design/quarantine.md, "What shows that a back end ended").
+//! (docs/design/quarantine.md, "What shows that a back end crashed").
 
 use std::{io, sync::Arc, time::Duration};
 
