--- a/crates/tallybridge-mesh/src/listener/peers/mod.rs
+++ b/crates/tallybridge-mesh/src/listener/peers/mod.rs
@@ -97,8 +97,8 @@
         sender.send_message(Message::Clock(ClockMessage { now_ms }));
         sender.send_message(Message::Status(node.status()));
         self.send_confirmation();
-        for suspect in node.quarantine_snapshot() {
-            sender.send_message(Message::Quarantined(suspect));
+        for message in node.quarantine_messages() {
+            sender.send_message(message);
         }
     }
 
@@ -160,11 +160,9 @@
                 }
             }
             Message::QuotaRequest(message) => self.answer_quota_request(frame.call, message),
-            Message::Crash(report) => {
-                // The node whose back end crashed writes the report to the store.
-                node.record_crash(report);
-            }
+            Message::Crash(report) => node.record_peer_crash(report),
             Message::Quarantined(suspect) => node.merge_quarantined(suspect),
+            Message::QuarantineStored(suspect) => node.merge_stored(suspect),
             Message::Cleared(digest) => node.clear_suspects(&[digest]),
             // Only the node that accepted a link sends the other messages.
             _ => {}
--- a/crates/tallybridge-mesh/src/node/quarantine.rs
+++ b/crates/tallybridge-mesh/src/node/quarantine.rs
@@ -168,9 +168,16 @@
 
 /// The quarantine table of this node, which gossip keeps in line with the other nodes.
 impl Node {
+    /// Counts a crash report of a peer and forwards it, unless it was counted before.
+    pub fn record_peer_crash(&self, report: CrashReport) {
+        if self.record_crash(report) {
+            self.signals.unstored_crashes_reported.notify_one();
+        }
+    }
+
     /// Counts a crash report and forwards it, unless it was counted before. Returns `true` if the
     /// snapshot changed, so that the stored one is out of date.
-    pub fn record_crash(&self, report: CrashReport) -> bool {
+    fn record_crash(&self, report: CrashReport) -> bool {
         let now = BootInstant::now();
         let quarantined = self.tables().record_crash(&report, now);
         let Some(quarantined) = quarantined else {
@@ -196,6 +203,22 @@
     pub fn merge_quarantined(&self, request: QuarantinedRequest) {
         if self.tables().quarantine.merge(request, BootInstant::now()) {
             self.gossip(Message::Quarantined(request));
+            self.signals.unstored_crashes_reported.notify_one();
+        }
+    }
+
+    /// Merges the record of a request whose crash count the store holds, and forwards what was
+    /// unknown.
+    pub fn merge_stored(&self, request: QuarantinedRequest) {
+        let (has_changed, is_newly_stored) = {
+            let quarantine = &mut self.tables().quarantine;
+            let has_changed = quarantine.merge(request, BootInstant::now());
+            (has_changed, quarantine.mark_stored(&request))
+        };
+        if is_newly_stored {
+            self.gossip(Message::QuarantineStored(request));
+        } else if has_changed {
+            self.gossip(Message::Quarantined(request));
         }
     }
 
@@ -220,7 +243,25 @@
         }
     }
 
-    /// Returns the records to send to a node that has just started.
+    /// Returns whether the store may lack crash counts of the snapshot.
+    #[must_use]
+    pub fn has_unstored_crashes(&self) -> bool {
+        self.tables().quarantine.has_unstored(BootInstant::now())
+    }
+
+    /// Returns the messages that bring the table of a newly linked node up to date.
+    #[must_use]
+    pub fn quarantine_messages(&self) -> Vec<Message> {
+        let quarantine = &self.tables().quarantine;
+        let snapshot = quarantine.snapshot(BootInstant::now()).into_iter();
+        let message = |request: QuarantinedRequest| match quarantine.is_stored(request.digest) {
+            true => Message::QuarantineStored(request),
+            false => Message::Quarantined(request),
+        };
+        snapshot.map(message).collect()
+    }
+
+    /// Returns the records to write to the store.
     #[must_use]
     pub fn quarantine_snapshot(&self) -> Vec<QuarantinedRequest> {
         self.tables().quarantine.snapshot(BootInstant::now())
@@ -244,6 +285,11 @@
         self.signals.quarantine_grew.notified().await;
     }
 
+    /// Waits until a peer reports crash counts that the store may lack.
+    pub async fn unstored_crashes_reported(&self) {
+        self.signals.unstored_crashes_reported.notified().await;
+    }
+
     /// Removes expired records of suspects and quarantined requests.
     pub fn remove_expired_suspects(&self) {
         self.tables().quarantine.remove_expired(BootInstant::now());
--- a/crates/tallybridge-mesh/src/node/signals.rs
+++ b/crates/tallybridge-mesh/src/node/signals.rs
@@ -28,6 +28,8 @@
     /// A crash of this node's back end changed the quarantine snapshot: wakes
     /// [`crate::tasks::stored_quarantine`].
     pub(super) quarantine_grew: Notify,
+    /// A peer reported crash counts that the store may lack: wakes the same task.
+    pub(super) unstored_crashes_reported: Notify,
     /// The registered record of this node is out of date: wakes [`crate::tasks::registration`].
     pub(super) record_changed: Notify,
     /// The process resumed after a pause: wakes [`crate::tasks::registration`], since the lease may
@@ -52,6 +54,7 @@
             restarts: watch::Sender::new(0),
             call_lost: Notify::new(),
             quarantine_grew: Notify::new(),
+            unstored_crashes_reported: Notify::new(),
             record_changed: Notify::new(),
             resumed: Notify::new(),
             became_watcher: Notify::new(),
--- a/crates/tallybridge-mesh/src/protocol/message.rs
+++ b/crates/tallybridge-mesh/src/protocol/message.rs
@@ -45,10 +45,15 @@
     Crash(CrashReport),
     /// Reports a quarantined request or a suspect.
     Quarantined(QuarantinedRequest),
+    /// Reports a request like [`Self::Quarantined`], whose crash count the store holds.
+    QuarantineStored(QuarantinedRequest),
     /// Reports that a back end answered a suspect, which clears the suspicion.
     Cleared(RequestDigest),
 }
 
+/// Byte after a quarantined request whose crash count the store holds. Earlier releases ignore it.
+const QUARANTINE_STORED: u8 = 1;
+
 /// Values of the `kind` field of a frame's header.
 pub(super) mod kind {
     pub const HELLO: u8 = 1;
@@ -90,7 +95,7 @@
             Self::QuotaRequest(_) => kind::QUOTA_REQUEST,
             Self::QuotaGrant(_) => kind::QUOTA_GRANT,
             Self::Crash(_) => kind::CRASH,
-            Self::Quarantined(_) => kind::QUARANTINED,
+            Self::Quarantined(_) | Self::QuarantineStored(_) => kind::QUARANTINED,
             Self::Cleared(_) => kind::CLEARED,
         }
     }
@@ -110,6 +115,10 @@
             Self::QuotaGrant(grant) => grant.encode(out),
             Self::Crash(report) => report.encode(out),
             Self::Quarantined(request) => request.encode(out),
+            Self::QuarantineStored(request) => {
+                request.encode(out);
+                out.push(QUARANTINE_STORED);
+            }
             Self::Cleared(digest) => out.extend_from_slice(&digest.0),
             Self::Cancel | Self::Ping | Self::FetchConfiguration | Self::FetchNodes => {}
         }
@@ -134,9 +143,17 @@
             kind::QUOTA_REQUEST => Self::QuotaRequest(QuotaRequestMessage::decode(payload)?),
             kind::QUOTA_GRANT => Self::QuotaGrant(QuotaGrant::decode(payload)?),
             kind::CRASH => Self::Crash(CrashReport::decode(payload)?),
-            kind::QUARANTINED => Self::Quarantined(QuarantinedRequest::decode(payload)?),
+            kind::QUARANTINED => Self::decode_quarantined(payload)?,
             kind::CLEARED => Self::Cleared(RequestDigest::decode(&payload)?),
             _ => return None,
         })
     }
+
+    fn decode_quarantined(mut payload: Bytes) -> Option<Self> {
+        let request = QuarantinedRequest::decode(&mut payload)?;
+        Some(match payload.first() {
+            Some(&QUARANTINE_STORED) => Self::QuarantineStored(request),
+            _ => Self::Quarantined(request),
+        })
+    }
 }
--- a/crates/tallybridge-mesh/src/protocol/quarantine.rs
+++ b/crates/tallybridge-mesh/src/protocol/quarantine.rs
@@ -177,8 +177,9 @@
         put_fields(&fields, out);
     }
 
-    pub(super) fn decode(mut payload: Bytes) -> Option<Self> {
-        let fields: QuarantinedFields = take_fields(&mut payload)?;
+    /// Removes a request from the front of a payload.
+    pub(super) fn decode(payload: &mut Bytes) -> Option<Self> {
+        let fields: QuarantinedFields = take_fields(payload)?;
         Some(Self {
             digest: RequestDigest(fields.digest),
             crashes: fields.crashes,
--- a/crates/tallybridge-mesh/src/tables/quarantine/record.rs
+++ b/crates/tallybridge-mesh/src/tables/quarantine/record.rs
@@ -42,6 +42,8 @@
     pub(super) crashes: u8,
     pub(super) first_crash: BootInstant,
     pub(super) last_crash: BootInstant,
+    /// Highest crash count known to be in the store, in terms of [`Self::crashes_for_peers`].
+    stored_crashes: u8,
     /// Crash count at the first quarantine, or `None` for a suspect that was never quarantined.
     crashes_at_first_quarantine: Option<u8>,
     /// End of the last quarantine, or `None` for a suspect that was never quarantined.
@@ -57,6 +59,7 @@
             crashes: 0,
             first_crash: now,
             last_crash: now,
+            stored_crashes: 0,
             crashes_at_first_quarantine: None,
             quarantined_until: None,
             released_at: now,
@@ -95,6 +98,19 @@
         }
     }
 
+    /// Records that the store holds the crash count that a node sent to its peers. Returns `true` if this was
+    /// unknown.
+    pub(super) fn mark_stored(&mut self, crashes: u8) -> bool {
+        let is_news = self.stored_crashes < crashes;
+        self.stored_crashes = self.stored_crashes.max(crashes);
+        is_news
+    }
+
+    /// Returns whether the store is known to hold the current crash count.
+    pub(super) fn is_stored(&self) -> bool {
+        self.stored_crashes >= self.crashes_for_peers()
+    }
+
     pub(super) fn quarantine(&mut self, duration: Duration, now: BootInstant) {
         let jitter = rand::rng().random_range(0.0..MAX_RELEASE_JITTER);
         self.quarantined_until = Some(now + duration);
--- a/crates/tallybridge-mesh/src/tables/quarantine/table.rs
+++ b/crates/tallybridge-mesh/src/tables/quarantine/table.rs
@@ -124,6 +124,29 @@
         has_changed
     }
 
+    /// Records that the store holds the crash count of a request. Returns `true` if this was unknown.
+    pub fn mark_stored(&mut self, request: &QuarantinedRequest) -> bool {
+        let record = self.records.get_mut(&request.digest);
+        record.is_some_and(|record| record.mark_stored(request.crashes))
+    }
+
+    /// Returns whether the store is known to hold the current crash count of a request.
+    #[must_use]
+    pub fn is_stored(&self, digest: RequestDigest) -> bool {
+        self.records
+            .get(&digest)
+            .is_some_and(SuspectRecord::is_stored)
+    }
+
+    /// Returns whether the store may lack the crash count of a request of the snapshot.
+    #[must_use]
+    pub fn has_unstored(&self, now: BootInstant) -> bool {
+        let snapshot = self.snapshot(now);
+        snapshot
+            .iter()
+            .any(|request| !self.is_stored(request.digest))
+    }
+
     /// Returns the quarantine of a call, for the first of its digests that is quarantined. The duration in the
     /// result is the time until this node releases the request.
     #[must_use]
--- a/crates/tallybridge-mesh/src/tasks/links.rs
+++ b/crates/tallybridge-mesh/src/tasks/links.rs
@@ -166,8 +166,8 @@
     if node.should_request_nodes() {
         link.send(&Frame::without_call(Message::FetchNodes));
     }
-    for request in node.quarantine_snapshot() {
-        link.send(&Frame::without_call(Message::Quarantined(request)));
+    for message in node.quarantine_messages() {
+        link.send(&Frame::without_call(message));
     }
 }
 
@@ -192,6 +192,7 @@
             node.peer_confirmed(address, to_local_confirmation(link, confirmation));
         }
         Message::Quarantined(request) => node.merge_quarantined(request),
+        Message::QuarantineStored(request) => node.merge_stored(request),
         // The other kinds are sent only to the accepting side of a link.
         _ => {}
     }
--- a/crates/tallybridge-mesh/src/tasks/stored_quarantine.rs
+++ b/crates/tallybridge-mesh/src/tasks/stored_quarantine.rs
@@ -1,15 +1,17 @@
 //! Stores the quarantine in the registry, so that it survives a loss of all nodes.
 //!
-//! The node whose back end crashed last writes a snapshot of its quarantine table as one entry,
-//! under a lease of its own. Other nodes receive the entry with their regular reads of the registry.
-//! The node renews the entry while the snapshot is not empty, and writes it again when a crash adds
-//! to it. While the store is unavailable, nodes exchange the quarantine over their links.
+//! The node whose back end crashed writes a snapshot of its quarantine table as one entry, under a
+//! lease of its own, and tells its peers which crash counts the store holds. If the store does not
+//! serve this node, or the node ends, other nodes write the snapshot after a random delay. Nodes
+//! receive the entries with their regular reads of the registry. A node renews its entry while the
+//! snapshot is not empty.
 
 use std::{sync::Arc, time::Duration};
 
 use bytes::Bytes;
+use rand::Rng;
 use serde::{Deserialize, Serialize};
-use tokio::time::{sleep, timeout};
+use tokio::time::{Instant, sleep, sleep_until};
 
 use super::backoff::{Backoff, count_store_call};
 use crate::{
@@ -24,8 +26,13 @@
 /// Time to live of an entry's lease, the longest that the platform's store grants.
 const LEASE_TTL: Duration = Duration::from_secs(600);
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(240);
-/// Wait before a write, which lets one write include all requests of a series of crashes.
-const WRITE_DELAY: Duration = Duration::from_millis(150);
+/// Minimum time between two writes after crashes of one back end. One write then includes all requests of
+/// a series of crashes.
+const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(150);
+/// Time that the node beside a crashed back end has to store the crash before other nodes do.
+const MIN_PEER_WRITE_DELAY: Duration = Duration::from_millis(100);
+/// Average time between attempts of different nodes, which bounds the load on the store.
+const WRITE_SPACING: Duration = Duration::from_millis(10);
 
 /// Registry entry with the quarantine snapshot of one node.
 #[derive(Debug, Serialize, Deserialize)]
@@ -60,7 +67,7 @@
     /// now, so the age of the entry extends each quarantine.
     pub fn merge_into(&self, node: &Node) {
         for request in &self.requests {
-            node.merge_quarantined(QuarantinedRequest {
+            node.merge_stored(QuarantinedRequest {
                 digest: request.digest,
                 crashes: request.crashes,
                 remaining: Duration::from_millis(request.left_ms),
@@ -69,42 +76,104 @@
     }
 }
 
-/// Stores the quarantine whenever a crash of this node's back end adds to it, and renews the entry.
-/// Never returns.
+/// Entry of this node in the registry.
+struct Entry {
+    lease: u64,
+    written_at: Instant,
+}
+
+/// Stores the quarantine whenever crashes add to it, and renews the entry. Never returns.
 pub async fn store_quarantine(node: Arc<Node>) {
+    let mut entry = None;
+    loop {
+        let is_renewal = wait_for_work(&node, entry.as_ref()).await;
+        entry = match entry {
+            Some(entry) if is_renewal => renew(&node, entry).await,
+            entry => store_with_retries(&node, entry).await,
+        };
+    }
+}
+
+/// Waits until the snapshot must be written, or until the entry must be renewed, and then returns
+/// `true`.
+async fn wait_for_work(node: &Node, entry: Option<&Entry>) -> bool {
+    let last_written_at = entry.map(|entry| entry.written_at);
+    tokio::select! {
+        () = own_crash(node, last_written_at) => false,
+        () = unstored_crashes_of_peers(node) => false,
+        () = sleep(RENEWAL_INTERVAL), if entry.is_some() => true,
+    }
+}
+
+/// Waits for a crash of the back end beside this node, and until the entry may be written again.
+async fn own_crash(node: &Node, last_written_at: Option<Instant>) {
+    node.quarantine_grew().await;
+    if let Some(written_at) = last_written_at {
+        sleep_until(written_at + MIN_WRITE_INTERVAL).await;
+    }
+}
+
+/// Waits until crashes of other back ends were reported and no node has stored them in time.
+async fn unstored_crashes_of_peers(node: &Node) {
     loop {
-        node.quarantine_grew().await;
-        while let Err(reason) = store_until_empty(&node).await {
-            tracing::warn!(%reason, "cannot store the quarantined requests; retrying");
+        if !node.has_unstored_crashes() {
+            node.unstored_crashes_reported().await;
+        }
+        sleep(peer_write_delay(node)).await;
+        if node.has_unstored_crashes() {
+            return;
         }
     }
 }
 
-async fn store_until_empty(node: &Node) -> Result<(), StoreError> {
+/// Returns the random time for which a node leaves a write to others. All nodes together make about
+/// one attempt per [`WRITE_SPACING`].
+fn peer_write_delay(node: &Node) -> Duration {
+    let nodes = node.with_peers(|peers| peers.count_nodes(|_| true));
+    let spread = WRITE_SPACING * u32::try_from(nodes).unwrap_or(u32::MAX);
+    MIN_PEER_WRITE_DELAY + spread.mul_f64(rand::rng().random())
+}
+
+/// Writes the snapshot until the store holds it, written by this node or another one. Returns this
+/// node's entry, or `None` if there is nothing to store, so that an earlier entry expires.
+async fn store_with_retries(node: &Node, entry: Option<Entry>) -> Option<Entry> {
     let mut backoff = Backoff::new();
     loop {
-        sleep(WRITE_DELAY).await;
         let snapshot = node.quarantine_snapshot();
         if snapshot.is_empty() {
-            return Ok(());
+            return None;
         }
-        let lease = match store(node, &snapshot).await {
-            Ok(lease) => lease,
-            Err(reason) => {
-                backoff.wait().await;
-                return Err(reason);
+        let written_at = Instant::now();
+        match store(node, &snapshot).await {
+            Ok(lease) => {
+                for request in snapshot {
+                    node.merge_stored(request);
+                }
+                return Some(Entry { lease, written_at });
             }
-        };
-        // Renews the entry until a crash adds to the snapshot, then writes it again.
-        while timeout(RENEWAL_INTERVAL, node.quarantine_grew())
-            .await
-            .is_err()
-        {
-            if node.quarantine_snapshot().is_empty() {
-                return Ok(());
+            Err(reason) => {
+                tracing::warn!(%reason, "cannot store the quarantined requests; retrying");
             }
-            count_store_call(node);
-            node.platform.renew(lease).await?;
+        }
+        backoff.wait().await;
+        sleep(peer_write_delay(node)).await;
+        if !node.has_unstored_crashes() {
+            return entry;
+        }
+    }
+}
+
+/// Renews an entry, or writes it again if that fails.
+async fn renew(node: &Node, entry: Entry) -> Option<Entry> {
+    if node.quarantine_snapshot().is_empty() {
+        return None;
+    }
+    count_store_call(node);
+    match node.platform.renew(entry.lease).await {
+        Ok(()) => Some(entry),
+        Err(reason) => {
+            tracing::warn!(%reason, "cannot renew the stored quarantine; writing it again");
+            store_with_retries(node, Some(entry)).await
         }
     }
 }
--- a/crates/tallybridge-mesh/tests/wire_format.rs
+++ b/crates/tallybridge-mesh/tests/wire_format.rs
@@ -179,6 +179,14 @@
             }),
             "00000019081111223344c3c3c3c3c3c3c3c3c3c3c3c3c3c3c3c3030000010203040506",
         ),
+        (
+            Message::QuarantineStored(QuarantinedRequest {
+                digest: digest(0xc3),
+                crashes: 3,
+                remaining: Duration::from_millis(0x0102_0304_0506),
+            }),
+            "0000001a081111223344c3c3c3c3c3c3c3c3c3c3c3c3c3c3c3c303000001020304050601",
+        ),
         (
             Message::Cleared(digest(0xd4)),
             "00000010081211223344d4d4d4d4d4d4d4d4d4d4d4d4d4d4d4d4",
