--- a/crates/tallybridge-mesh/src/listener/metrics.rs
+++ b/crates/tallybridge-mesh/src/listener/metrics.rs
@@ -93,7 +93,10 @@
         ("watches_store", node.is_watcher().into()),
         ("peers_confirming", watch_view.confirming as u64),
         ("requests_suspected", quarantine.suspects as u64),
-        ("requests_held_back", quarantine.quarantined as u64),
+        (
+            "requests_held_back",
+            node.quarantined_requests().len() as u64,
+        ),
         ("requests_in_flight", node.requests_in_flight() as u64),
     ]
 }
--- a/crates/tallybridge-mesh/src/node/dispatched.rs
+++ b/crates/tallybridge-mesh/src/node/dispatched.rs
@@ -3,41 +3,91 @@
 //! [`crate::tables::quarantine`] decides which calls are refused; its
 //! [`DispatchedCalls`](crate::tables::quarantine::DispatchedCalls) tracks the running ones.
 
-use std::sync::Arc;
+use std::{sync::Arc, time::Duration};
 
 use tallybridge_core::{ErrorKind, Refusal};
 
 use super::Node;
 use crate::{
-    clock::BootInstant,
+    clock::{BootInstant, timeout_at},
     protocol::{CallMessage, Message, QuarantinedRequest, RequestDigest},
     tables::{
         Incarnation,
-        quarantine::{CallContent, DispatchEnd, DispatchId},
+        quarantine::{CallContent, DispatchEnd, DispatchId, UnstoredSuspect},
     },
 };
 
+/// Longest `Retry-After` of a suspect whose crash count is not stored yet.
+const UNSTORED_RETRY_AFTER: Duration = Duration::from_secs(2);
+
+fn quarantine_refusal(request: &QuarantinedRequest) -> Refusal {
+    let QuarantinedRequest {
+        digest, crashes, ..
+    } = request;
+    let detail = format!("{crashes} back ends crashed while running this request, digest {digest}");
+    Refusal::new(ErrorKind::Quarantined, detail).with_retry_after(request.remaining)
+}
+
+fn unstored_refusal(suspect: &UnstoredSuspect, now: BootInstant) -> Refusal {
+    let UnstoredSuspect {
+        digest,
+        crashes,
+        released_at,
+        ..
+    } = suspect;
+    let detail = format!(
+        "{crashes} back ends crashed while running this request, and the store does not hold this \
+         count yet, digest {digest}"
+    );
+    let remaining = released_at.saturating_duration_since(now);
+    Refusal::new(ErrorKind::Quarantined, detail)
+        .with_retry_after(remaining.min(UNSTORED_RETRY_AFTER))
+}
+
 impl Node {
-    /// Refuses a call whose request is quarantined.
+    /// Refuses a call whose request is quarantined, or whose crash count was not stored in time.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Quarantined`], with the time until this node releases the request.
+    /// [`ErrorKind::Quarantined`], with the time until this node releases the request, or a shorter
+    /// time if the request is released as soon as its crash count is stored.
     pub fn refuse_quarantined(&self, call: &CallMessage) -> Result<(), Refusal> {
         let Some(digests) = self.digests_if_any_suspect(call) else {
             return Ok(());
         };
-        let found = self.tables().quarantine.find(&digests, BootInstant::now());
-        let Some(request) = found else {
-            return Ok(());
+        let now = BootInstant::now();
+        let (quarantined, unstored) = {
+            let quarantine = &self.tables().quarantine;
+            let quarantined = quarantine.find(&digests, now);
+            (quarantined, quarantine.find_unstored(&digests, now))
         };
-        let QuarantinedRequest {
-            digest, crashes, ..
-        } = request;
-        let detail =
-            format!("{crashes} back ends crashed while running this request, digest {digest}");
-        let refusal = Refusal::new(ErrorKind::Quarantined, detail);
-        Err(refusal.with_retry_after(request.remaining))
+        if let Some(request) = quarantined {
+            return Err(quarantine_refusal(&request));
+        }
+        match unstored {
+            Some(suspect) if now >= suspect.refused_from => Err(unstored_refusal(&suspect, now)),
+            _ => Ok(()),
+        }
+    }
+
+    /// Waits while the crash count of the call's request is being stored, until
+    /// [`refuse_quarantined`](Self::refuse_quarantined) would refuse the call.
+    pub async fn wait_until_crashes_stored(&self, call: &CallMessage) {
+        let Some(digests) = self.digests_if_any_suspect(call) else {
+            return;
+        };
+        let mut stored = self.signals.crashes_stored.subscribe();
+        loop {
+            let now = BootInstant::now();
+            let unstored = self.tables().quarantine.find_unstored(&digests, now);
+            let Some(suspect) = unstored else {
+                return;
+            };
+            let storage = stored.changed();
+            if timeout_at(suspect.refused_from, storage).await.is_err() {
+                return;
+            }
+        }
     }
 
     /// Tracks a dispatched call until the returned guard is ended or dropped. If the quarantine of
--- a/crates/tallybridge-mesh/src/node/quarantine.rs
+++ b/crates/tallybridge-mesh/src/node/quarantine.rs
@@ -216,6 +216,7 @@
             (has_changed, quarantine.mark_stored(&request))
         };
         if is_newly_stored {
+            self.signals.crashes_stored.send_modify(|count| *count += 1);
             self.gossip(Message::QuarantineStored(request));
         } else if has_changed {
             self.gossip(Message::Quarantined(request));
@@ -267,11 +268,11 @@
         self.tables().quarantine.snapshot(BootInstant::now())
     }
 
-    /// Returns all quarantined requests. Only tests use this.
-    #[doc(hidden)]
+    /// Returns the requests that are refused, because they are quarantined or their crash count is
+    /// not stored.
     #[must_use]
     pub fn quarantined_requests(&self) -> Vec<QuarantinedRequest> {
-        self.tables().quarantine.quarantined(BootInstant::now())
+        self.tables().quarantine.refused(BootInstant::now())
     }
 
     /// Returns the number of suspects, and how many of them are quarantined.
--- a/crates/tallybridge-mesh/src/node/signals.rs
+++ b/crates/tallybridge-mesh/src/node/signals.rs
@@ -30,6 +30,9 @@
     pub(super) quarantine_grew: Notify,
     /// A peer reported crash counts that the store may lack: wakes the same task.
     pub(super) unstored_crashes_reported: Notify,
+    /// The store holds further crash counts: wakes the calls that wait for that. The value is a
+    /// counter.
+    pub(super) crashes_stored: watch::Sender<u64>,
     /// The registered record of this node is out of date: wakes [`crate::tasks::registration`].
     pub(super) record_changed: Notify,
     /// The process resumed after a pause: wakes [`crate::tasks::registration`], since the lease may
@@ -55,6 +58,7 @@
             call_lost: Notify::new(),
             quarantine_grew: Notify::new(),
             unstored_crashes_reported: Notify::new(),
+            crashes_stored: watch::Sender::new(0),
             record_changed: Notify::new(),
             resumed: Notify::new(),
             became_watcher: Notify::new(),
--- a/crates/tallybridge-mesh/src/request/execute/mod.rs
+++ b/crates/tallybridge-mesh/src/request/execute/mod.rs
@@ -1,6 +1,7 @@
 //! The executor: a call waits for a slot of the back end beside this node and is dispatched once.
 //!
-//! A call is refused without a dispatch if its request is quarantined, if the node or the back end is
+//! A call waits while the crash count of its request is being stored. It is refused without a
+//! dispatch if its request is quarantined, if the node or the back end is
 //! leaving, if the back end is not verified, or if no slot becomes free in time. All but the
 //! last condition may change during the wait and are checked again after it. A call is also refused
 //! if less than `MIN_REMAINING_TIME` is left before its deadline. A dispatched call is abandoned
@@ -76,6 +77,7 @@
     arrived: BootInstant,
 ) -> Result<ExecutedCall, Refusal> {
     let deadline = arrived + Duration::from_millis(call.remaining_ms.into());
+    node.wait_until_crashes_stored(call).await;
     node.refuse_quarantined(call)?;
     let mut slot = acquire_slot(node, call, arrived).await?;
     let executed = dispatch(node, call, &slot, deadline).await?;
@@ -160,6 +162,7 @@
     slot: &Slot,
     deadline: BootInstant,
 ) -> Result<ExecutedCall, Refusal> {
+    node.wait_until_crashes_stored(call).await;
     let incarnation = check_before_dispatch(node, call, deadline)?;
     let parent = Parent {
         is_urgent: call.is_urgent,
--- a/crates/tallybridge-mesh/src/tables/quarantine/mod.rs
+++ b/crates/tallybridge-mesh/src/tables/quarantine/mod.rs
@@ -7,6 +7,9 @@
 //! and those cancelled up to 1 s before, except requests that the back end answered at least twice in the
 //! last 10 s to 20 s.
 //!
+//! A request with two crashes runs again only once the store holds this count, or 30 s after the last crash.
+//! Otherwise a loss of all nodes during an outage of the store would let it crash as many back ends again.
+//!
 //! The module owns only the state of one process. [`crate::node`] exchanges reports with other nodes,
 //! [`crate::tasks::crash_detection`] detects crashes, and [`crate::tasks::stored_quarantine`] stores snapshots
 //! of the table. [`BootInstant`](crate::clock::BootInstant) lets a quarantine elapse during a system suspend.
@@ -24,4 +27,4 @@
 pub use dispatched::{DispatchEnd, DispatchId, DispatchedCalls};
 pub use record::CRASHES_TO_QUARANTINE;
 pub use suspects::InterruptedCalls;
-pub use table::{Quarantine, QuarantineCounts};
+pub use table::{Quarantine, QuarantineCounts, UnstoredSuspect};
--- a/crates/tallybridge-mesh/src/tables/quarantine/record.rs
+++ b/crates/tallybridge-mesh/src/tables/quarantine/record.rs
@@ -32,6 +32,9 @@
 /// Time during which other runs stay refused while one run tries a request again. The time must be long enough
 /// for the run to crash its back end.
 pub(super) const TRIAL_DURATION: Duration = Duration::from_secs(2);
+/// Time after a crash in which calls of a suspect wait until its crash count is stored. Usually the node
+/// beside the crashed back end or, if the store refuses that node, another one stores it in this time.
+pub(super) const MAX_STORAGE_WAIT: Duration = Duration::from_millis(400);
 /// Time after the last crash until a suspect that was never quarantined is removed.
 const SUSPECT_TTL: Duration = Duration::from_secs(120);
 /// Time after the release until a request is removed. Until then, another crash continues the crash count.
@@ -106,6 +109,21 @@
         is_news
     }
 
+    /// Returns until when the request must not run because the loss of all nodes would lose its crash count, or
+    /// `None` if it may run. Applies to a suspect that one more crash may quarantine.
+    pub(super) fn unstored_until(&self, now: BootInstant) -> Option<BootInstant> {
+        let is_last_suspicion = self.quarantined_until.is_none()
+            && self.crashes_for_peers() == CRASHES_TO_QUARANTINE - 1;
+        let until = self.last_crash + QUARANTINE_DURATIONS[0];
+        (is_last_suspicion && !self.is_stored() && now < until).then_some(until)
+    }
+
+    /// Returns whether the request is quarantined, or its crash count was not stored in time.
+    pub(super) fn is_refused(&self, now: BootInstant) -> bool {
+        let is_overdue = now >= self.last_crash + MAX_STORAGE_WAIT;
+        self.is_quarantined(now) || (is_overdue && self.unstored_until(now).is_some())
+    }
+
     /// Returns whether the store is known to hold the current crash count.
     pub(super) fn is_stored(&self) -> bool {
         self.stored_crashes >= self.crashes_for_peers()
--- a/crates/tallybridge-mesh/src/tables/quarantine/table.rs
+++ b/crates/tallybridge-mesh/src/tables/quarantine/table.rs
@@ -7,7 +7,10 @@
 use super::{
     history::CrashHistory,
     recent_events::{ClearedRequests, CountedReports},
-    record::{CRASHES_TO_QUARANTINE, MAX_QUARANTINE_DURATION, SuspectRecord, TRIAL_DURATION},
+    record::{
+        CRASHES_TO_QUARANTINE, MAX_QUARANTINE_DURATION, MAX_STORAGE_WAIT, SuspectRecord,
+        TRIAL_DURATION,
+    },
 };
 use crate::{
     clock::BootInstant,
@@ -33,10 +36,23 @@
 pub struct QuarantineCounts {
     /// Number of requests in the table, quarantined or not.
     pub suspects: usize,
-    /// Number of requests that are refused at present.
+    /// Number of requests that are quarantined at present.
     pub quarantined: usize,
 }
 
+/// A suspect whose crash count the store is not known to hold.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct UnstoredSuspect {
+    /// Digest of the request.
+    pub digest: RequestDigest,
+    /// Number of crashes with this request as a suspect since a back end last answered it.
+    pub crashes: u8,
+    /// Time until which calls wait for the store. After it, they are refused.
+    pub refused_from: BootInstant,
+    /// Time from which the request may run although its count is not stored.
+    pub released_at: BootInstant,
+}
+
 impl Quarantine {
     /// Returns whether no request is a suspect, so that calls need no lookup.
     #[must_use]
@@ -44,7 +60,7 @@
         self.records.is_empty()
     }
 
-    /// Counts the requests in the table and those that are refused at `now`.
+    /// Counts the requests in the table and the quarantined ones.
     #[must_use]
     pub fn counts(&self, now: BootInstant) -> QuarantineCounts {
         QuarantineCounts {
@@ -161,6 +177,26 @@
         })
     }
 
+    /// Returns the first of a call's digests that must not run before its crash count is stored. Losing all
+    /// nodes would lose the count, and the request could crash as many back ends again.
+    #[must_use]
+    pub fn find_unstored(
+        &self,
+        digests: &[RequestDigest],
+        now: BootInstant,
+    ) -> Option<UnstoredSuspect> {
+        digests.iter().find_map(|digest| {
+            let record = self.records.get(digest)?;
+            let released_at = record.unstored_until(now)?;
+            Some(UnstoredSuspect {
+                digest: *digest,
+                crashes: record.crashes,
+                refused_from: record.last_crash + MAX_STORAGE_WAIT,
+                released_at,
+            })
+        })
+    }
+
     /// Begins the trial of a request whose quarantine has ended, for a call that is about to run. Other runs are
     /// refused for two seconds on this node, and on the nodes that receive the returned records.
     pub fn begin_trial(
@@ -224,6 +260,16 @@
             .collect()
     }
 
+    /// Returns the requests that are refused, because they are quarantined or their crash count is not stored.
+    #[must_use]
+    pub fn refused(&self, now: BootInstant) -> Vec<QuarantinedRequest> {
+        let records = self.records.iter();
+        let refused = records.filter(|(_, record)| record.is_refused(now));
+        refused
+            .map(|(digest, record)| record.to_message(*digest, now))
+            .collect()
+    }
+
     /// Removes suspects two minutes after their last crash, and released requests ten minutes after their
     /// release.
     pub fn remove_expired(&mut self, now: BootInstant) {
--- a/crates/tallybridge-mesh/tests/crashes.rs
+++ b/crates/tallybridge-mesh/tests/crashes.rs
@@ -513,6 +513,32 @@
     assert!(table.is_quarantined(digest(1)));
 }
 
+/// Guards against a crash count that is lost with all nodes, and against refusals that an outage of the store
+/// prolongs.
+#[test]
+fn suspect_of_two_crashes_waits_until_stored_or_30_s() {
+    let mut table = Table::new();
+    table.report_crash(&[digest(1)]);
+    let find = |table: &Table| table.quarantine.find_unstored(&[digest(1)], table.now);
+    assert_eq!(find(&table), None, "one crash is not stored");
+    table.report_crash(&[digest(1)]);
+    let crashed_at = table.now;
+    assert!(find(&table).is_some());
+    assert!(table.quarantine.has_unstored(table.now));
+    table.now = crashed_at + 29 * SECOND;
+    assert_eq!(table.quarantine.refused(table.now).len(), 1);
+    table.now = crashed_at + 30 * SECOND;
+    assert_eq!(find(&table), None);
+    table.now = crashed_at;
+    for request in table.quarantine.snapshot(table.now) {
+        assert!(table.quarantine.mark_stored(&request));
+        assert!(!table.quarantine.mark_stored(&request));
+    }
+    assert_eq!(find(&table), None);
+    assert!(!table.quarantine.has_unstored(table.now));
+    assert_eq!(table.quarantine.refused(crashed_at + 5 * SECOND), []);
+}
+
 #[test]
 fn snapshot_shares_suspects_of_two_crashes() {
     let mut table = Table::new();
