--- a/crates/tallybridge-mesh/src/tables/quotas/bucket.rs
+++ b/crates/tallybridge-mesh/src/tables/quotas/bucket.rs
@@ -9,12 +9,28 @@
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(2);
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
+/// Tokens that arrive at a constant rate until a time.
+#[derive(Debug, Clone, Copy)]
+struct Supplement {
+    per_second: f64,
+    until: BootInstant,
+}
+
+impl Supplement {
+    fn between(self, from: BootInstant, to: BootInstant) -> f64 {
+        let duration = self.until.min(to).saturating_duration_since(from);
+        duration.as_secs_f64() * self.per_second
+    }
+}
+
 /// Tokens that arrive at the rate of a limit and accumulate up to its burst.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     limit: RateLimit,
     tokens: f64,
     refilled_at: BootInstant,
+    /// Tokens that arrive in addition to the limit.
+    supplement: Supplement,
     /// Time of the latest scheduled retry.
     retries_scheduled_until: BootInstant,
 }
@@ -27,6 +43,10 @@
             limit,
             tokens,
             refilled_at: since,
+            supplement: Supplement {
+                per_second: 0.0,
+                until: since,
+            },
             retries_scheduled_until: since,
         }
     }
@@ -40,10 +60,11 @@
         }
     }
 
-    /// Discards the tokens above `max_tokens` and restarts the accumulation at `since`.
-    pub fn restart(&mut self, max_tokens: f64, since: BootInstant) {
-        self.tokens = self.tokens.min(max_tokens);
-        self.refilled_at = since;
+    /// Lets additional tokens arrive at a constant rate until a time.
+    #[must_use]
+    pub const fn with_supplement(mut self, per_second: f64, until: BootInstant) -> Self {
+        self.supplement = Supplement { per_second, until };
+        self
     }
 
     /// Takes a token, and up to `prefetch` more while the bucket stays at least half full. Returns
@@ -73,6 +94,19 @@
         retry_at.saturating_duration_since(now).max(MIN_RETRY_AFTER)
     }
 
+    /// Returns whether additional tokens arrive at `now`.
+    #[must_use]
+    pub fn has_supplement(&self, now: BootInstant) -> bool {
+        now < self.supplement.until
+    }
+
+    /// Returns the number of tokens that arrive within a time.
+    #[must_use]
+    pub fn tokens_in(&self, duration: Duration, now: BootInstant) -> f64 {
+        duration.as_secs_f64() * self.limit.per_second
+            + self.supplement.between(now, now + duration)
+    }
+
     /// Returns at least 1, because a burst below one token would never admit a request.
     fn capacity(&self) -> f64 {
         self.limit.burst.max(1.0)
@@ -80,7 +114,8 @@
 
     fn refill(&mut self, now: BootInstant) {
         let elapsed = now.saturating_duration_since(self.refilled_at);
-        let tokens = self.tokens + elapsed.as_secs_f64() * self.limit.per_second;
+        let supplement = self.supplement.between(self.refilled_at, now);
+        let tokens = self.tokens + elapsed.as_secs_f64() * self.limit.per_second + supplement;
         self.tokens = tokens.min(self.capacity());
         self.refilled_at = self.refilled_at.max(now);
     }
--- a/crates/tallybridge-mesh/src/tables/quotas/entry.rs
+++ b/crates/tallybridge-mesh/src/tables/quotas/entry.rs
@@ -8,7 +8,7 @@
 
 /// Lifetime of prefetched tokens. It is short because unused tokens at entries are missing from the
 /// bucket of the owner.
-const TOKEN_LIFETIME: Duration = Duration::from_millis(250);
+pub(super) const TOKEN_LIFETIME: Duration = Duration::from_millis(250);
 /// Time, in seconds, for which an entry prefetches the tokens that a tenant is expected to need. A
 /// tenant that sends fewer than ten requests per second to the entry gets no prefetched tokens.
 const PREFETCH_SECONDS: f64 = 0.1;
--- a/crates/tallybridge-mesh/src/tables/quotas/mod.rs
+++ b/crates/tallybridge-mesh/src/tables/quotas/mod.rs
@@ -9,6 +9,10 @@
 //! knows. The owner bounds the total. A new owner grants nothing until these reports have arrived
 //! (`owner.rs`), and a node that may have lost the ownership grants nothing either ([`Ownership`]).
 //!
+//! Some grants may be known to no node that is left. The bucket of a new owner therefore starts empty and
+//! fills faster during its first window (`slack.rs`), which bounds the grants of any number of successive
+//! owners. Requests wait a short time for its tokens.
+//!
 //! The tables take the current time as an argument, and the lock of the node guards them.
 
 mod bucket;
--- a/crates/tallybridge-mesh/src/tables/quotas/owner.rs
+++ b/crates/tallybridge-mesh/src/tables/quotas/owner.rs
@@ -21,6 +21,13 @@
 /// each new owner would grant tokens in addition to a full window.
 const REPORT_COLLECTION_TIME: Duration = Duration::from_millis(55);
 
+/// Maximum wait of a request for a token of a new owner, whose bucket starts empty.
+const MAX_TOKEN_WAIT: Duration = Duration::from_millis(250);
+/// Bounds on the time after which an entry asks again for a request that waits, which is 30 ms plus the
+/// time of an answer.
+const MIN_REPEAT_INTERVAL: Duration = Duration::from_millis(28);
+const MAX_REPEAT_INTERVAL: Duration = Duration::from_millis(60);
+
 /// Fraction of the window after which to retry when the window is full.
 const FULL_WINDOW_RETRY_FRACTION: f64 = 0.1;
 
@@ -61,7 +68,7 @@
         let slack = self.slack;
         let quota = self.quotas.entry(tenant.name.clone());
         let quota = quota.or_insert_with(|| OwnedQuota::new(limit, slack, since, now));
-        quota.start_epoch_after_gap(slack.initial_tokens(limit), since, now);
+        quota.start_epoch_after_gap(limit, slack, since, now);
         quota.last_request_at = now;
         quota.bucket.set_limit(limit, now);
         quota.fleet_spending.merge(&request.spending, now);
@@ -84,6 +91,20 @@
     }
 }
 
+/// Returns the bucket of a new owner, which is empty: earlier owners may have granted all tokens.
+fn new_bucket(limit: RateLimit, slack: QuotaSlack, since: BootInstant) -> TokenBucket {
+    let bucket = TokenBucket::new(limit, 0.0, since);
+    bucket.with_supplement(slack.new_owner_supplement(limit), since + slack.window)
+}
+
+/// A request of an entry that was told to ask again.
+#[derive(Debug)]
+struct WaitingRequest {
+    entry: u64,
+    since: BootInstant,
+    asked_at: BootInstant,
+}
+
 /// State of one tenant at its owner.
 #[derive(Debug)]
 struct OwnedQuota {
@@ -93,6 +114,8 @@
     reported: ReportedSpending,
     /// Grants of all owners, including this node.
     fleet_spending: FleetSpending,
+    /// Requests that wait for a token of this new owner.
+    waiting: Vec<WaitingRequest>,
     /// Random number of the current epoch.
     epoch: u32,
     epoch_started_at: BootInstant,
@@ -103,10 +126,11 @@
     /// the owner before.
     fn new(limit: RateLimit, slack: QuotaSlack, since: BootInstant, now: BootInstant) -> Self {
         Self {
-            bucket: TokenBucket::new(limit, slack.initial_tokens(limit), since),
+            bucket: new_bucket(limit, slack, since),
             last_request_at: now,
             reported: ReportedSpending::default(),
             fleet_spending: FleetSpending::new(slack.window),
+            waiting: Vec::new(),
             epoch: rand::random(),
             epoch_started_at: now,
         }
@@ -114,10 +138,16 @@
 
     /// Starts a new epoch if another node may have been the owner before `since`. The tokens that
     /// arrived in the meantime are discarded, because the other owner may have granted them.
-    fn start_epoch_after_gap(&mut self, initial_tokens: f64, since: BootInstant, now: BootInstant) {
+    fn start_epoch_after_gap(
+        &mut self,
+        limit: RateLimit,
+        slack: QuotaSlack,
+        since: BootInstant,
+        now: BootInstant,
+    ) {
         let gap = since.saturating_duration_since(self.last_request_at);
         if gap >= MIN_OWNERSHIP_GAP {
-            self.bucket.restart(initial_tokens, since);
+            self.bucket = new_bucket(limit, slack, since);
             self.reported = ReportedSpending::default();
             self.epoch = rand::random();
             self.epoch_started_at = now;
@@ -140,6 +170,49 @@
                 || self.fleet_spending.in_window_except(self.epoch, now) > 0)
     }
 
+    /// Returns whether a request of an entry waits for a token instead of being refused. While the bucket is
+    /// that of a new owner, as many requests wait as tokens arrive within [`MAX_TOKEN_WAIT`].
+    fn may_wait_for_token(&mut self, entry: u64, now: BootInstant) -> bool {
+        if !self.bucket.has_supplement(now) {
+            return false;
+        }
+        let elapsed = |since: BootInstant| now.saturating_duration_since(since);
+        self.waiting
+            .retain(|waiting| elapsed(waiting.asked_at) < MAX_REPEAT_INTERVAL);
+        let repeated = self.waiting.iter().position(|waiting| {
+            waiting.entry == entry && elapsed(waiting.asked_at) >= MIN_REPEAT_INTERVAL
+        });
+        if let Some(index) = repeated {
+            if elapsed(self.waiting[index].since) >= MAX_TOKEN_WAIT {
+                self.waiting.swap_remove(index);
+                return false;
+            }
+            self.waiting[index].asked_at = now;
+            return true;
+        }
+        let arriving_tokens = self.bucket.tokens_in(MAX_TOKEN_WAIT, now);
+        let has_room = (self.waiting.len() as f64) < arriving_tokens.max(1.0);
+        if has_room {
+            self.waiting.push(WaitingRequest {
+                entry,
+                since: now,
+                asked_at: now,
+            });
+        }
+        has_room
+    }
+
+    /// Forgets a waiting request of an entry, which has got its token.
+    fn end_wait(&mut self, entry: u64, now: BootInstant) {
+        let is_repeated = |waiting: &WaitingRequest| {
+            let age = now.saturating_duration_since(waiting.asked_at);
+            waiting.entry == entry && age >= MIN_REPEAT_INTERVAL
+        };
+        if let Some(index) = self.waiting.iter().position(is_repeated) {
+            self.waiting.swap_remove(index);
+        }
+    }
+
     fn refuse(&mut self, wait: Duration, now: BootInstant) -> QuotaGrant {
         let spending = self.fleet_spending.report(now);
         QuotaGrant::Exhausted { wait, spending }
@@ -147,10 +220,14 @@
 
     fn grant(&mut self, request: &QuotaRequest, now: BootInstant) -> QuotaGrant {
         let tokens = self.bucket.take(request.extra_tokens, now);
+        if tokens == 0 && self.may_wait_for_token(request.entry, now) {
+            return QuotaGrant::NotOwner;
+        }
         if tokens == 0 {
             let wait = self.bucket.schedule_retry(now);
             return self.refuse(wait, now);
         }
+        self.end_wait(request.entry, now);
         self.reported.add_grant(request.entry, tokens);
         self.fleet_spending.record_grant(self.epoch, tokens, now);
         let spending = self.fleet_spending.report(now);
--- a/crates/tallybridge-mesh/src/tables/quotas/slack.rs
+++ b/crates/tallybridge-mesh/src/tables/quotas/slack.rs
@@ -2,12 +2,13 @@
 
 use std::time::Duration;
 
+use super::entry::TOKEN_LIFETIME;
 use crate::{configuration::tenants::RateLimit, settings::TenantSettings};
 
-/// Fraction of the allowed excess with which the bucket of a new owner starts. A larger fraction
-/// exceeds the limit if owners change several times within a window; an empty bucket would refuse
-/// tenants that are within their limits.
-const INITIAL_TOKENS_FRACTION: f64 = 0.25;
+/// Fraction of the allowed excess, less the tokens that entries may store, that a new owner grants evenly
+/// over its first window in addition to the limit. Any number of successive owners grant together at most
+/// this much within a window, even if none of them knows what the others granted.
+const NEW_OWNER_EXCESS_FRACTION: f64 = 0.8;
 
 /// Fraction of the allowed excess up to which an owner fills a window. The rest covers requests
 /// that entries have admitted and not yet reported.
@@ -35,9 +36,13 @@
 }
 
 impl QuotaSlack {
-    /// Returns the number of tokens with which the bucket of a new owner starts.
-    pub(super) fn initial_tokens(self, limit: RateLimit) -> f64 {
-        self.allowed_excess(limit) * INITIAL_TOKENS_FRACTION
+    /// Returns the tokens per second that a new owner grants during its first window in addition to the
+    /// limit.
+    pub(super) fn new_owner_supplement(self, limit: RateLimit) -> f64 {
+        let window = self.window.as_secs_f64().max(f64::MIN_POSITIVE);
+        let stored_at_entries = limit.per_second * TOKEN_LIFETIME.as_secs_f64();
+        let excess = (self.allowed_excess(limit) - stored_at_entries).max(0.0);
+        excess * NEW_OWNER_EXCESS_FRACTION / window
     }
 
     /// Returns the number of requests within a window above which an owner grants no token, even if
