--- a/crates/tallybridge-mesh/src/tables/quotas/bucket.rs
+++ b/crates/tallybridge-mesh/src/tables/quotas/bucket.rs
@@ -94,12 +94,6 @@
         retry_at.saturating_duration_since(now).max(MIN_RETRY_AFTER)
     }
 
-    /// Returns whether additional tokens arrive at `now`.
-    #[must_use]
-    pub fn has_supplement(&self, now: BootInstant) -> bool {
-        now < self.supplement.until
-    }
-
     /// Returns the number of tokens that arrive within a time.
     #[must_use]
     pub fn tokens_in(&self, duration: Duration, now: BootInstant) -> f64 {
--- a/crates/tallybridge-mesh/src/tables/quotas/owner.rs
+++ b/crates/tallybridge-mesh/src/tables/quotas/owner.rs
@@ -21,6 +21,9 @@
 /// each new owner would grant tokens in addition to a full window.
 const REPORT_COLLECTION_TIME: Duration = Duration::from_millis(55);
 
+/// Time after the first request in which requests wait for tokens of a new owner. A tenant that is within
+/// its limit then finds tokens in the bucket.
+const WAIT_PERIOD: Duration = Duration::from_secs(2);
 /// Maximum wait of a request for a token of a new owner, whose bucket starts empty.
 const MAX_TOKEN_WAIT: Duration = Duration::from_millis(250);
 /// Bounds on the time after which an entry asks again for a request that waits, which is 30 ms plus the
@@ -170,13 +173,13 @@
                 || self.fleet_spending.in_window_except(self.epoch, now) > 0)
     }
 
-    /// Returns whether a request of an entry waits for a token instead of being refused. While the bucket is
-    /// that of a new owner, as many requests wait as tokens arrive within [`MAX_TOKEN_WAIT`].
+    /// Returns whether a request of an entry waits for a token of a new owner instead of being refused. As many
+    /// requests wait as tokens arrive within [`MAX_TOKEN_WAIT`].
     fn may_wait_for_token(&mut self, entry: u64, now: BootInstant) -> bool {
-        if !self.bucket.has_supplement(now) {
+        let elapsed = |since: BootInstant| now.saturating_duration_since(since);
+        if elapsed(self.epoch_started_at) >= WAIT_PERIOD {
             return false;
         }
-        let elapsed = |since: BootInstant| now.saturating_duration_since(since);
         self.waiting
             .retain(|waiting| elapsed(waiting.asked_at) < MAX_REPEAT_INTERVAL);
         let repeated = self.waiting.iter().position(|waiting| {
--- a/crates/tallybridge-mesh/tests/decisions.rs
+++ b/crates/tallybridge-mesh/tests/decisions.rs
@@ -395,5 +395,5 @@
         });
         owner.forget_idle(now);
     }
-    decisions.assert_digest(0x517d_76f6_2182_bad2, 20_000);
+    decisions.assert_digest(0x6d10_aa27_95bb_9eaa, 20_000);
 }
