--- a/crates/tallybridge-mesh/src/node/quotas.rs
+++ b/crates/tallybridge-mesh/src/node/quotas.rs
@@ -57,7 +57,14 @@
             return QuotaGrant::NotOwner;
         }
         let owner_since = self.quota.ownership.since();
-        self.quota.owned.grant(tenant, request, owner_since, now)
+        let entry = request.entry;
+        let grant = self.quota.owned.grant(tenant, request, owner_since, now);
+        if let QuotaGrant::Tokens { tokens, .. } = &grant {
+            let epoch = self.quota.owned.epoch(&tenant.name);
+            let owned_ms = now.saturating_duration_since(owner_since).as_millis() as u64;
+            tracing::debug!(tenant = %tenant.name, epoch, entry, tokens, owned_ms, "granted tokens");
+        }
+        grant
     }
 }
 
--- a/crates/tallybridge-mesh/src/tables/quotas/owner.rs
+++ b/crates/tallybridge-mesh/src/tables/quotas/owner.rs
@@ -87,6 +87,13 @@
         quota.grant(&request, now)
     }
 
+    /// Returns the id of the current epoch of a tenant, which entries and logs name; `None` if this node has
+    /// no bucket of the tenant.
+    #[must_use]
+    pub fn epoch(&self, tenant: &str) -> Option<u32> {
+        self.quotas.get(tenant).map(|quota| quota.epoch)
+    }
+
     /// Drops buckets that no entry has requested tokens from recently.
     pub fn forget_idle(&mut self, now: BootInstant) {
         self.quotas
