--- a/crates/tallybridge-mesh/src/node/quotas.rs
+++ b/crates/tallybridge-mesh/src/node/quotas.rs
@@ -35,13 +35,7 @@
 impl Tables {
     /// Updates the ownership of quotas from the nodes in reach, and removes idle tenants.
     pub(super) fn update_quotas(&mut self, has_read_registry: bool, now: BootInstant) {
-        let reach = Reach {
-            fingerprint: self.peers.reached_fingerprint(),
-            reaches_any: self.peers.reaches_any(),
-            reaches_most: self.peers.reaches_most(),
-            has_read_registry,
-        };
-        self.quota.ownership.record_reach(reach, now);
+        self.record_reach(has_read_registry, now);
         self.quota.entry.forget_idle(now);
         self.quota.owned.forget_idle(now);
     }
@@ -52,7 +46,25 @@
         self.quota.ownership.restart(now);
     }
 
-    fn grant(&mut self, tenant: &Tenant, request: QuotaRequest, now: BootInstant) -> QuotaGrant {
+    fn record_reach(&mut self, has_read_registry: bool, now: BootInstant) {
+        let reach = Reach {
+            fingerprint: self.peers.candidates_fingerprint(),
+            reaches_any: self.peers.reaches_any(),
+            reaches_most: self.peers.reaches_most(),
+            has_read_registry,
+        };
+        self.quota.ownership.record_reach(reach, now);
+    }
+
+    fn grant(
+        &mut self,
+        tenant: &Tenant,
+        request: QuotaRequest,
+        has_read_registry: bool,
+        now: BootInstant,
+    ) -> QuotaGrant {
+        // The link to the previous owner may have closed since the last tick.
+        self.record_reach(has_read_registry, now);
         if !self.quota.ownership.may_own(self.configuration.read_at()) {
             return QuotaGrant::NotOwner;
         }
@@ -106,7 +118,9 @@
     /// Grants tokens as the owner of a tenant's quota.
     #[must_use]
     pub fn grant_as_owner(&self, tenant: &Tenant, request: QuotaRequest) -> QuotaGrant {
-        self.tables().grant(tenant, request, BootInstant::now())
+        let has_read_registry = self.has_read_registry();
+        let mut tables = self.tables();
+        tables.grant(tenant, request, has_read_registry, BootInstant::now())
     }
 
     /// Grants a token from this node's share of a tenant's limit, which is divided into `parts`
@@ -120,7 +134,9 @@
             spending: Vec::new(),
             ..request
         };
-        self.tables().grant(&share, request, BootInstant::now())
+        let has_read_registry = self.has_read_registry();
+        let mut tables = self.tables();
+        tables.grant(&share, request, has_read_registry, BootInstant::now())
     }
 
     /// Answers a peer that requests tokens from this node. Returns [`QuotaGrant::NotOwner`] if the
--- a/crates/tallybridge-mesh/src/tables/peers/quota_owner.rs
+++ b/crates/tallybridge-mesh/src/tables/peers/quota_owner.rs
@@ -8,6 +8,9 @@
 use super::PeerTable;
 use crate::link::Link;
 
+/// Keeps the digests of services apart from those of nodes.
+const PARTLY_LINKED_SEED: u64 = 1;
+
 /// The owner of a tenant's limit.
 #[derive(Debug, Clone)]
 pub enum QuotaOwner {
@@ -50,15 +53,19 @@
         unlinked.map(|node| &*node.record.service).collect()
     }
 
-    /// Returns a value that changes when the set of reachable peers changes.
+    /// Returns a value that changes when the nodes that may own a limit change: the reachable peers, or the
+    /// services whose nodes are all linked to.
     #[must_use]
-    pub fn reached_fingerprint(&self) -> u64 {
+    pub fn candidates_fingerprint(&self) -> u64 {
         let reached = self.rows.values().filter(|row| {
             let link = row.link.as_ref();
             link.is_some_and(|link| !link.is_suspect())
         });
-        let digests = reached.map(|row| xxh3_64(row.record.node.as_bytes()));
-        digests.fold(0, |sum, digest| sum ^ digest)
+        let nodes = reached.map(|row| xxh3_64(row.record.node.as_bytes()));
+        let partly_linked = self.partly_linked_services().into_iter();
+        let services =
+            partly_linked.map(|service| xxh3_64_with_seed(service.as_bytes(), PARTLY_LINKED_SEED));
+        nodes.chain(services).fold(0, |sum, digest| sum ^ digest)
     }
 
     /// Returns whether any peer is reachable.
