--- a/crates/tallybridge-mesh/src/tables/quotas/mod.rs
+++ b/crates/tallybridge-mesh/src/tables/quotas/mod.rs
@@ -22,6 +22,7 @@
 mod ownership;
 mod slack;
 mod spending;
+mod waiting;
 
 pub use self::{
     bucket::TokenBucket,
--- a/crates/tallybridge-mesh/src/tables/quotas/owner.rs
+++ b/crates/tallybridge-mesh/src/tables/quotas/owner.rs
@@ -2,7 +2,12 @@
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
-use super::{QuotaSlack, TokenBucket, epochs::FleetSpending, spending::ReportedSpending};
+use super::{
+    QuotaSlack, TokenBucket,
+    epochs::FleetSpending,
+    spending::ReportedSpending,
+    waiting::{MAX_TOKEN_WAIT, WaitingRequests},
+};
 use crate::protocol::{QuotaGrant, QuotaRequest};
 use crate::{
     clock::BootInstant,
@@ -24,12 +29,6 @@
 /// Time after the first request in which requests wait for tokens of a new owner. A tenant that is within
 /// its limit then finds tokens in the bucket.
 const WAIT_PERIOD: Duration = Duration::from_secs(2);
-/// Maximum wait of a request for a token of a new owner, whose bucket starts empty.
-const MAX_TOKEN_WAIT: Duration = Duration::from_millis(250);
-/// Bounds on the time after which an entry asks again for a request that waits, which is 30 ms plus the
-/// time of an answer.
-const MIN_REPEAT_INTERVAL: Duration = Duration::from_millis(28);
-const MAX_REPEAT_INTERVAL: Duration = Duration::from_millis(60);
 
 /// Fraction of the window after which to retry when the window is full.
 const FULL_WINDOW_RETRY_FRACTION: f64 = 0.1;
@@ -107,14 +106,6 @@
     bucket.with_supplement(slack.new_owner_supplement(limit), since + slack.window)
 }
 
-/// A request of an entry that was told to ask again.
-#[derive(Debug)]
-struct WaitingRequest {
-    entry: u64,
-    since: BootInstant,
-    asked_at: BootInstant,
-}
-
 /// State of one tenant at its owner.
 #[derive(Debug)]
 struct OwnedQuota {
@@ -125,7 +116,7 @@
     /// Grants of all owners, including this node.
     fleet_spending: FleetSpending,
     /// Requests that wait for a token of this new owner.
-    waiting: Vec<WaitingRequest>,
+    waiting: WaitingRequests,
     /// Random number of the current epoch.
     epoch: u32,
     epoch_started_at: BootInstant,
@@ -140,7 +131,7 @@
             last_request_at: now,
             reported: ReportedSpending::default(),
             fleet_spending: FleetSpending::new(slack.window),
-            waiting: Vec::new(),
+            waiting: WaitingRequests::default(),
             epoch: rand::random(),
             epoch_started_at: now,
         }
@@ -180,47 +171,11 @@
                 || self.fleet_spending.in_window_except(self.epoch, now) > 0)
     }
 
-    /// Returns whether a request of an entry waits for a token of a new owner instead of being refused. As many
-    /// requests wait as tokens arrive within [`MAX_TOKEN_WAIT`].
+    /// Returns whether a request of an entry waits for a token of a new owner instead of being refused.
     fn may_wait_for_token(&mut self, entry: u64, now: BootInstant) -> bool {
-        let elapsed = |since: BootInstant| now.saturating_duration_since(since);
-        if elapsed(self.epoch_started_at) >= WAIT_PERIOD {
-            return false;
-        }
-        self.waiting
-            .retain(|waiting| elapsed(waiting.asked_at) < MAX_REPEAT_INTERVAL);
-        let repeated = self.waiting.iter().position(|waiting| {
-            waiting.entry == entry && elapsed(waiting.asked_at) >= MIN_REPEAT_INTERVAL
-        });
-        if let Some(index) = repeated {
-            if elapsed(self.waiting[index].since) >= MAX_TOKEN_WAIT {
-                self.waiting.swap_remove(index);
-                return false;
-            }
-            self.waiting[index].asked_at = now;
-            return true;
-        }
+        let is_new_owner = now.saturating_duration_since(self.epoch_started_at) < WAIT_PERIOD;
         let arriving_tokens = self.bucket.tokens_in(MAX_TOKEN_WAIT, now);
-        let has_room = (self.waiting.len() as f64) < arriving_tokens.max(1.0);
-        if has_room {
-            self.waiting.push(WaitingRequest {
-                entry,
-                since: now,
-                asked_at: now,
-            });
-        }
-        has_room
-    }
-
-    /// Forgets a waiting request of an entry, which has got its token.
-    fn end_wait(&mut self, entry: u64, now: BootInstant) {
-        let is_repeated = |waiting: &WaitingRequest| {
-            let age = now.saturating_duration_since(waiting.asked_at);
-            waiting.entry == entry && age >= MIN_REPEAT_INTERVAL
-        };
-        if let Some(index) = self.waiting.iter().position(is_repeated) {
-            self.waiting.swap_remove(index);
-        }
+        is_new_owner && self.waiting.admit(entry, arriving_tokens, now)
     }
 
     fn refuse(&mut self, wait: Duration, now: BootInstant) -> QuotaGrant {
@@ -237,7 +192,7 @@
             let wait = self.bucket.schedule_retry(now);
             return self.refuse(wait, now);
         }
-        self.end_wait(request.entry, now);
+        self.waiting.remove(request.entry, now);
         self.reported.add_grant(request.entry, tokens);
         self.fleet_spending.record_grant(self.epoch, tokens, now);
         let spending = self.fleet_spending.report(now);
--- a/crates/tallybridge-mesh/tests/quota_losses.rs
+++ b/crates/tallybridge-mesh/tests/quota_losses.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use rand::{Rng, SeedableRng, rngs::SmallRng};
-use tallybridge_mesh::tables::quotas::OwnedQuotas;
+use tallybridge_mesh::{clock::BootInstant, tables::quotas::OwnedQuotas};
 
 use self::support::quota::{QUOTA_SLACK, simulate, tenant};
 
@@ -51,24 +51,23 @@
     let owner_lost_at = lost_at.filter(|_| loss != Loss::None);
     let tenant = tenant(rate);
     let mut owner = OwnedQuotas::new(QUOTA_SLACK);
-    let mut since = None;
+    // The first owner has been one for long; the second one begins with the first request after the loss.
+    let mut since = BootInstant::now()
+        .checked_sub(2 * QUOTA_SLACK.window)
+        .expect("the machine has been up for longer than two windows");
     let mut is_lost = false;
-    let gaps = gaps.into_iter();
     let result = simulate(
         &tenant,
         ENTRIES,
-        gaps,
+        gaps.into_iter(),
         entries_lost_at,
         |number, now, request| {
-            let start =
-                *since.get_or_insert(now.checked_sub(2 * QUOTA_SLACK.window).unwrap_or(now));
             if owner_lost_at.is_some_and(|lost_at| number >= lost_at) && !is_lost {
                 is_lost = true;
                 owner = OwnedQuotas::new(QUOTA_SLACK);
-                since = Some(now);
-                return owner.grant(&tenant, request, now, now);
+                since = now;
             }
-            owner.grant(&tenant, request, start, now)
+            owner.grant(&tenant, request, since, now)
         },
     );
     result.refused
